--- a/internal/suspects/peers.go
+++ b/internal/suspects/peers.go
@@ -5,12 +5,12 @@
 	"net/netip"
 )
 
-// passersOn is how many instances of a zone pass on what other zones tell: if one is
-// dead or cut off, the other one is told.
-const passersOn = 2
+// relaysPerZone is the number of instances per zone that relay records from other zones.
+// With two, records still arrive if one is dead or partitioned.
+const relaysPerZone = 2
 
-// near are the other instances of the zone.
-func (s *Suspects) near() []netip.AddrPort {
+// zonePeers returns the addresses of the other instances in the same zone.
+func (s *Suspects) zonePeers() []netip.AddrPort {
 	var list []netip.AddrPort
 	for _, p := range s.Peers() {
 		if p.Zone == s.Zone && p.Name != s.Name {
@@ -20,10 +20,10 @@
 	return list
 }
 
-// far are those of other zones that pass on.
-func (s *Suspects) far() []netip.AddrPort {
+// remoteRelays returns the addresses of the relays in other zones.
+func (s *Suspects) remoteRelays() []netip.AddrPort {
 	var list []netip.AddrPort
-	for _, p := range s.passers() {
+	for _, p := range s.relays() {
 		if p.Zone != s.Zone {
 			list = append(list, p.Address)
 		}
@@ -31,23 +31,23 @@
 	return list
 }
 
-// other is an instance to compare with: one of the zone that passes on. Those ask
-// each other, and every other time one of another zone, so that no instance talks to
-// more the larger the fleet is.
-func (s *Suspects) other() (netip.AddrPort, bool) {
+// comparisonPeer picks an instance to compare records with: a relay of the same zone. A
+// relay picks another relay of its zone or, half of the time, one of another zone. The
+// number of peers an instance compares with thus does not grow with the fleet.
+func (s *Suspects) comparisonPeer() (netip.AddrPort, bool) {
 	var zone, others []netip.AddrPort
-	passesOn := false
-	for _, p := range s.passers() {
+	isRelay := false
+	for _, p := range s.relays() {
 		switch {
 		case p.Name == s.Name:
-			passesOn = true
+			isRelay = true
 		case p.Zone == s.Zone:
 			zone = append(zone, p.Address)
 		default:
 			others = append(others, p.Address)
 		}
 	}
-	if passesOn && len(others) > 0 && (len(zone) == 0 || rand.IntN(2) == 0) {
+	if isRelay && len(others) > 0 && (len(zone) == 0 || rand.IntN(2) == 0) {
 		zone = others
 	}
 	if len(zone) == 0 {
@@ -56,12 +56,12 @@
 	return zone[rand.IntN(len(zone))], true
 }
 
-// passers are the first of each zone.
-func (s *Suspects) passers() []Peer {
+// relays returns the relays of all zones, the first instances of each.
+func (s *Suspects) relays() []Peer {
 	count := map[string]int{}
 	var list []Peer
 	for _, p := range s.Peers() {
-		if count[p.Zone]++; count[p.Zone] <= passersOn {
+		if count[p.Zone]++; count[p.Zone] <= relaysPerZone {
 			list = append(list, p)
 		}
 	}
--- a/internal/suspects/suspects.go
+++ b/internal/suspects/suspects.go
@@ -1,7 +1,8 @@
 // Package suspects shares between instances which requests end the endpoints that
-// run them: what one sees is told to its zone and to some of each other zone at once,
-// compared each second, and what is held is kept in the platform's store, so that it
-// outlasts every instance. Which requests those are, package quarantine decides.
+// run them. An instance announces what it observes at once to its own zone and to a few
+// instances of each other zone, and instances compare their records every second. Held
+// requests are also saved in the platform's store, so that they outlast every instance.
+// Package quarantine decides which requests are held.
 package suspects
 
 import (
@@ -25,131 +26,135 @@
 // Error marks every error of this package.
 var Error = errs.Class("suspects")
 
-// ErrExists says that the store has a record of the request already.
+// ErrExists is returned by Store.Save if the store already has a record of the request.
 var ErrExists = errors.New("a record of the request exists")
 
-// The topics between instances.
+// Topics of the messages between instances.
 const (
-	topicTold    = "suspects.told"
+	topicRecords = "suspects.told"
 	topicCompare = "suspects.compare"
 )
 
 const (
-	// tickEvery is how often it is looked at what the store lacks.
-	tickEvery = 250 * time.Millisecond
-	// compareEvery is how often an instance asks another whether it holds the same:
-	// after a cut of the ways between them, all know the same within three of these,
-	// which is the users' time to be in touch again.
-	compareEvery = time.Second
-	// compareWait bounds one such question.
-	compareWait = 800 * time.Millisecond
-	// recordsTold bounds the records of one message, to about 30 kB; the store tells
-	// the rest.
-	recordsTold = 256
-	// saveGrace is how long whoever watches the store waits for the instance that saw
-	// the last end to save it.
-	saveGrace = 600 * time.Millisecond
-	// togetherFor is for how long ends are gathered before any is blamed on a request.
-	// What a fault ends at one moment, an instance with two fifths of a core has looked
-	// at within some tens of ms.
-	togetherFor = 80 * time.Millisecond
-	// savePause is between two tries at what the store did not take.
-	savePause = 500 * time.Millisecond
+	// tickInterval is the interval at which Run checks whether a comparison or a store
+	// update is due.
+	tickInterval = 250 * time.Millisecond
+	// compareInterval is the interval at which an instance compares its records with
+	// another one. After a network partition heals, all instances agree within three
+	// intervals, which is the time the users allow for restoring contact.
+	compareInterval = time.Second
+	// compareTimeout is the timeout of one comparison call.
+	compareTimeout = 800 * time.Millisecond
+	// maxMessageRecords bounds the records in one message, to about 30 kB; the remaining ones
+	// are read from the store.
+	maxMessageRecords = 256
+	// saveDelay is how long an instance that watches the store waits for the instance
+	// that observed the last end to save the record.
+	saveDelay = 600 * time.Millisecond
+	// endWindow is how long ends are collected before any is attributed to a request.
+	// An instance with 0.4 of a core processes all ends of one simultaneous fault within
+	// some tens of ms.
+	endWindow = 80 * time.Millisecond
+	// saveRetryDelay is the minimum delay between a call to the store and the next pass of
+	// updates to it.
+	saveRetryDelay = 500 * time.Millisecond
 )
 
-// Store keeps the records of requests that are held.
+// Store provides access to the stored records of held requests.
 type Store struct {
-	// Save writes a record; its error is ErrExists if there is one of the request.
+	// Save writes a record. It returns ErrExists if the request already has one.
 	Save func(ctx context.Context, r quarantine.Record) (revision int64, err error)
-	// Remove removes a request's record.
+	// Remove deletes a request's record.
 	Remove func(ctx context.Context, work quarantine.Fingerprint) error
-	// Read reads a request's record.
+	// Read returns a request's record.
 	Read func(ctx context.Context, work quarantine.Fingerprint) (quarantine.Stored, error)
 }
 
-// News is what the store tells of records.
+// News is a listing of the store's records or a batch of changes to them.
 type News struct {
 	Records  []quarantine.Stored
 	Released []quarantine.Release
-	Complete bool // Records are all there are up to Revision
+	Complete bool // Records is a full listing as of Revision
 	Revision int64
 	Problems []error // records that could not be read
 }
 
-// Options are what Suspects works with.
+// Options configures Suspects.
 type Options struct {
 	Name, Zone string
 	Transport  *peer.Transport
 	Store      Store
 	Scope      tally.Scope
 	Now        func() clock.Millis
-	// Peers are the instances known, this one among them; the first of each zone pass
-	// on what they are told.
+	// Peers returns the known instances, including this one. The first ones of each
+	// zone are its relays.
 	Peers func() []Peer
-	// Watching says whether this instance follows the store for its zone.
+	// Watching reports whether this instance watches the store for its zone.
 	Watching func() bool
-	// Held is told of a request that is run no more, or may be run again.
+	// Held is called when a request becomes held or is released.
 	Held func(r quarantine.Record)
-	// Unreadable is told of a record in the store that cannot be read.
+	// Unreadable is called for each record of the store that cannot be decoded.
 	Unreadable func(err error, revision int64)
 }
 
-// Peer is an instance.
+// Peer identifies an instance and its address.
 type Peer struct {
 	Name, Zone string
 	Address    netip.AddrPort
 }
 
-// Suspects is one instance's part. It is safe for concurrent use.
+// Suspects holds one instance's records of suspected and held requests and keeps them
+// in sync with the other instances and the store. It is safe for concurrent use.
 type Suspects struct {
 	Options
-	holding  atomic.Bool // some request is held: only then arrivals are looked at
-	compared clock.Millis
-	tried    clock.Millis // when the store was last called
+	anyHeld       atomic.Bool  // whether any request is held; if not, Holds skips the table
+	lastCompared  clock.Millis // time of the last comparison
+	lastStoreCall clock.Millis // time of the last call to the store
 
 	mu    sync.Mutex // never held while sending
 	table *quarantine.Table
-	ends  []quarantine.End // seen within togetherFor
+	ends  []quarantine.End // observed within endWindow, not yet attributed
 }
 
-// told is what an instance tells others.
-type told struct {
+// recordsMessage carries records to another instance.
+type recordsMessage struct {
 	Records []quarantine.Record `cbor:"1,keyasint"`
-	PassOn  bool                `cbor:"2,keyasint,omitempty"` // to the receiver's zone
-	Differs bool                `cbor:"3,keyasint,omitempty"` // the asker holds other requests
+	Relay   bool                `cbor:"2,keyasint,omitempty"` // the receiver relays the records to its zone
+	Differs bool                `cbor:"3,keyasint,omitempty"` // in a reply: the caller's digest differs
 }
 
-// question asks who holds something else; the answer is told.
-type question struct {
+// compareRequest is a comparison request with the caller's digest; the reply is a
+// recordsMessage.
+type compareRequest struct {
 	Digest uint64 `cbor:"1,keyasint"`
 }
 
-// New returns one that does not run yet.
+// New returns a Suspects with no records. Call Register and Run to start it.
 func New(o Options) *Suspects {
 	return &Suspects{Options: o, table: quarantine.NewTable()}
 }
 
-// Register adds the handlers of other instances' messages.
+// Register adds the handlers for messages from other instances.
 func (s *Suspects) Register(r *message.Router) {
-	peer.Handle(r, s.Transport, topicTold, func(_ peer.Sender, t told) {
-		news := s.take(t.Records)
-		if t.PassOn {
-			s.tell(s.near(), news, false)
+	peer.Handle(r, s.Transport, topicRecords, func(_ peer.Sender, t recordsMessage) {
+		news := s.merge(t.Records)
+		if t.Relay {
+			s.send(s.zonePeers(), news, false)
 		}
 	})
-	peer.Answer(r, s.Transport, topicCompare, func(_ context.Context, _ peer.Sender, q question) told {
+	peer.Answer(r, s.Transport, topicCompare, func(_ context.Context, _ peer.Sender, q compareRequest) recordsMessage {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.table.Digest() == q.Digest {
-			return told{}
+			return recordsMessage{}
 		}
-		return told{Records: s.table.Firm(recordsTold), Differs: true}
+		return recordsMessage{Records: s.table.Firm(maxMessageRecords), Differs: true}
 	})
 }
 
-// Holds says whether a request is to be run no more.
+// Holds reports whether a request is held and must not be run.
 func (s *Suspects) Holds(w quarantine.Work) bool {
-	if !s.holding.Load() {
+	if !s.anyHeld.Load() {
 		return false
 	}
 	s.mu.Lock()
@@ -157,24 +162,26 @@
 	return s.table.Holds(w)
 }
 
-// Ended takes that an endpoint ended while it ran a request. Others are told a moment
-// later, unless many ended together; at once, if the request ended two.
+// Ended records that an endpoint ended while it ran a request. Other instances are
+// notified after endWindow, unless many endpoints ended together. They are notified at
+// once if the request ran at two of the endpoints that ended.
 func (s *Suspects) Ended(w quarantine.Work, endpoint string) {
 	end := quarantine.NewEnd(w, endpoint)
 	s.mu.Lock()
 	if len(s.ends) == 0 {
-		time.AfterFunc(togetherFor, s.blame)
+		time.AfterFunc(endWindow, s.attributeEnds)
 	}
 	s.ends = append(s.ends, end)
 	twice := quarantine.Twice(s.ends, end)
 	s.mu.Unlock()
 	if twice {
-		s.blame()
+		s.attributeEnds()
 	}
 }
 
-// blame holds the ends seen within a moment against the requests.
-func (s *Suspects) blame() {
+// attributeEnds adds the collected ends to the records of their requests and announces
+// the records that changed.
+func (s *Suspects) attributeEnds() {
 	var fresh []quarantine.Record
 	s.mu.Lock()
 	ends := s.ends
@@ -185,30 +192,32 @@
 		}
 	}
 	s.mu.Unlock()
-	s.tellAll(fresh)
+	s.announce(fresh)
 }
 
-// Completed takes that a request ran to its end; if it was suspected, others are told.
+// Completed records that a request ran to completion. If it was suspected, other
+// instances are notified.
 func (s *Suspects) Completed(w quarantine.Work) {
 	s.mu.Lock()
 	r, news := s.table.Completed(s.Now(), w)
 	s.mu.Unlock()
 	if news {
-		s.tellAll([]quarantine.Record{r})
+		s.announce([]quarantine.Record{r})
 	}
 }
 
-func (s *Suspects) tellAll(fresh []quarantine.Record) {
+// announce sends records to this zone, and to the relays of the other zones.
+func (s *Suspects) announce(fresh []quarantine.Record) {
 	if len(fresh) == 0 {
 		return
 	}
-	s.note(fresh)
-	s.tell(s.near(), fresh, false)
-	s.tell(s.far(), fresh, true)
+	s.report(fresh)
+	s.send(s.zonePeers(), fresh, false)
+	s.send(s.remoteRelays(), fresh, true)
 }
 
-// take joins records that others told, and returns those that were news.
-func (s *Suspects) take(list []quarantine.Record) []quarantine.Record {
+// merge adds records from other instances to the table and returns those that changed it.
+func (s *Suspects) merge(list []quarantine.Record) []quarantine.Record {
 	var fresh []quarantine.Record
 	s.mu.Lock()
 	for _, r := range list {
@@ -217,12 +226,12 @@
 		}
 	}
 	s.mu.Unlock()
-	s.note(fresh)
+	s.report(fresh)
 	return fresh
 }
 
-// TakeStored takes what the store told. What is news goes to the zone: those who do
-// not watch hear it from those who do.
+// TakeStored applies an update from the store. Changes are sent to the zone, because
+// only some of its instances watch the store.
 func (s *Suspects) TakeStored(n News) {
 	var fresh []quarantine.Record
 	s.mu.Lock()
@@ -245,53 +254,54 @@
 	for _, err := range n.Problems {
 		s.Unreadable(err, n.Revision)
 	}
-	s.note(fresh)
-	s.tell(s.near(), fresh, false)
+	s.report(fresh)
+	s.send(s.zonePeers(), fresh, false)
 }
 
-// Run compares with others and keeps the store's records until ctx ends.
+// Run compares records with other instances and updates the store until ctx ends.
 func (s *Suspects) Run(ctx context.Context) {
-	ticker.Every(ctx, tickEvery, func() {
+	ticker.Every(ctx, tickInterval, func() {
 		s.compare(ctx)
-		s.save(ctx)
+		s.updateStore(ctx)
 	})
 }
 
-// compare asks another instance what it holds, and tells it what it lacks.
+// compare exchanges records with another instance if the digests differ.
 func (s *Suspects) compare(ctx context.Context) {
 	now := s.Now()
-	if now.Sub(s.compared) < compareEvery {
+	if now.Sub(s.lastCompared) < compareInterval {
 		return
 	}
-	s.compared = now
-	other, ok := s.other()
+	s.lastCompared = now
+	other, ok := s.comparisonPeer()
 	if !ok {
 		return
 	}
 	s.mu.Lock()
-	q := question{Digest: s.table.Digest()}
+	q := compareRequest{Digest: s.table.Digest()}
 	s.mu.Unlock()
-	go func() { // whoever does not answer holds nothing up
-		ctx, cancel := context.WithTimeout(ctx, compareWait)
+	go func() { // an unresponsive peer must not block Run
+		ctx, cancel := context.WithTimeout(ctx, compareTimeout)
 		defer cancel()
-		answer, err := peer.Ask[question, told](ctx, s.Transport, other, topicCompare, q)
+		answer, err := peer.Ask[compareRequest, recordsMessage](ctx, s.Transport, other, topicCompare, q)
 		if err != nil {
 			s.Scope.Counter("suspects_unanswered").Inc(1)
 			return
 		}
-		s.differ(other, answer)
+		s.handleDifference(other, answer)
 	}()
 }
 
-// differ takes another instance's answer. What that instance lacks it is told; what
-// was lacking here goes to the zone if this instance speaks for it.
-func (s *Suspects) differ(other netip.AddrPort, answer told) {
+// handleDifference handles the reply of a comparison. It sends the other instance the
+// held records that it lacks. Records that were new here are sent to the zone if this
+// instance watches the store.
+func (s *Suspects) handleDifference(other netip.AddrPort, answer recordsMessage) {
 	if !answer.Differs {
 		return
 	}
-	news := s.take(answer.Records)
+	news := s.merge(answer.Records)
 	if s.Watching() {
-		s.tell(s.near(), news, false)
+		s.send(s.zonePeers(), news, false)
 	}
 	theirs := map[quarantine.Fingerprint]bool{}
 	for _, r := range answer.Records {
@@ -299,46 +309,48 @@
 	}
 	s.mu.Lock()
 	var lacking []quarantine.Record
-	for _, r := range s.table.Firm(recordsTold) {
+	for _, r := range s.table.Firm(maxMessageRecords) {
 		if r.Held() && !theirs[r.Work] {
 			lacking = append(lacking, r)
 		}
 	}
 	s.mu.Unlock()
-	s.tell([]netip.AddrPort{other}, lacking, true)
+	s.send([]netip.AddrPort{other}, lacking, true)
 }
 
-func (s *Suspects) tell(to []netip.AddrPort, list []quarantine.Record, passOn bool) {
+// send sends records to the given instances. With relay set they relay them to their zones.
+func (s *Suspects) send(to []netip.AddrPort, list []quarantine.Record, relay bool) {
 	if len(list) == 0 {
 		return
 	}
-	unsent := peer.SendAll(s.Transport, to, topicTold, told{Records: list, PassOn: passOn})
+	unsent := peer.SendAll(s.Transport, to, topicRecords, recordsMessage{Records: list, Relay: relay})
 	s.Scope.Counter("suspects_send_failed").Inc(int64(unsent))
 }
 
-// save writes to the store what it lacks, and removes what is not held any more.
-func (s *Suspects) save(ctx context.Context) {
+// updateStore writes the held records that the store lacks, and removes those that expired or
+// are not held any more.
+func (s *Suspects) updateStore(ctx context.Context) {
 	now := s.Now()
-	if now.Sub(s.tried) < savePause {
+	if now.Sub(s.lastStoreCall) < saveRetryDelay {
 		return
 	}
 	watching := s.Watching()
 	s.mu.Lock()
-	old := s.table.Expire(now)
-	unsaved := s.table.Unsaved(now, watching, saveGrace)
+	expired := s.table.Expire(now)
+	unsaved := s.table.Unsaved(now, watching, saveDelay)
 	unneeded := s.table.Unneeded()
 	s.mu.Unlock()
 	if !watching {
-		unneeded = nil // one of those who watch removes them
+		unneeded = nil // an instance that watches the store removes them
 	}
 	for _, r := range unsaved {
-		s.tried = now
-		if !s.keep(ctx, r) {
+		s.lastStoreCall = now
+		if !s.saveRecord(ctx, r) {
 			return
 		}
 	}
-	for _, l := range append(unneeded, old...) {
-		s.tried = now
+	for _, l := range append(unneeded, expired...) {
+		s.lastStoreCall = now
 		if err := s.Store.Remove(ctx, l.Work); err != nil {
 			s.Scope.Counter("suspects_remove_failed").Inc(1)
 			return
@@ -349,8 +361,8 @@
 	}
 }
 
-// keep writes one record; false means that the store does not take it now.
-func (s *Suspects) keep(ctx context.Context, r quarantine.Record) bool {
+// saveRecord saves one record. It returns false if the store failed.
+func (s *Suspects) saveRecord(ctx context.Context, r quarantine.Record) bool {
 	revision, err := s.Store.Save(ctx, r)
 	stored := quarantine.Stored{Record: r, Revision: revision}
 	if errors.Is(err, ErrExists) {
@@ -366,15 +378,16 @@
 	return true
 }
 
-// note tells where a request is held, or is not any more. What is only suspected is
-// not worth a line each: where a zone is cut, all that ran in the others is.
-func (s *Suspects) note(fresh []quarantine.Record) {
+// report reports requests that became held or were released, and updates the gauges.
+// Requests that are only suspected are not reported one by one: if a zone is partitioned,
+// every request that runs in the other zones becomes suspected.
+func (s *Suspects) report(fresh []quarantine.Record) {
 	if len(fresh) == 0 {
 		return
 	}
 	s.mu.Lock()
 	held, suspected := s.table.Count()
-	s.holding.Store(held > 0)
+	s.anyHeld.Store(held > 0)
 	s.mu.Unlock()
 	for _, r := range fresh {
 		if r.Held() || len(r.Ended) == 0 {
--- a/internal/suspects/suspects_test.go
+++ b/internal/suspects/suspects_test.go
@@ -21,17 +21,17 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// patience bounds every wait; none asserts that something is fast.
-const patience = 20 * time.Second
+// waitTimeout bounds every wait. No test asserts that something is fast.
+const waitTimeout = 20 * time.Second
 
-var errAway = errors.New("the store is away")
+var errUnavailable = errors.New("store unavailable")
 
-// store keeps records as the platform's does.
+// store is an in-memory stand-in for the platform's store.
 type store struct {
-	mu      sync.Mutex
-	records map[quarantine.Fingerprint]quarantine.Stored
-	rev     int64
-	away    bool
+	mu          sync.Mutex
+	records     map[quarantine.Fingerprint]quarantine.Stored
+	rev         int64
+	unavailable bool
 }
 
 func (s *store) open() suspects.Store {
@@ -39,8 +39,8 @@
 		Save: func(_ context.Context, r quarantine.Record) (int64, error) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			if s.away {
-				return 0, errAway
+			if s.unavailable {
+				return 0, errUnavailable
 			}
 			if _, there := s.records[r.Work]; there {
 				return 0, suspects.ErrExists
@@ -63,10 +63,10 @@
 	}
 }
 
-func (s *store) fail(away bool) {
+func (s *store) setUnavailable(unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away = away
+	s.unavailable = unavailable
 }
 
 func (s *store) count() int {
@@ -75,8 +75,8 @@
 	return len(s.records)
 }
 
-// listed is what the store tells whoever reads all of it.
-func (s *store) listed() suspects.News {
+// listing returns a full listing of the store.
+func (s *store) listing() suspects.News {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	news := suspects.News{Complete: true, Revision: s.rev}
@@ -86,22 +86,22 @@
 	return news
 }
 
-// fleet is instances of two zones.
+// fleet runs instances of two zones that share a store.
 type fleet struct {
-	t     *testing.T
-	store *store
-	dir   string
-	ca    *cert.Authority
-	mu    sync.Mutex
-	all   []suspects.Peer
-	cut   map[netip.AddrPort]bool // from and to these nothing passes
-	nodes map[string]*suspects.Suspects
+	t           *testing.T
+	store       *store
+	dir         string
+	ca          *cert.Authority
+	mu          sync.Mutex
+	all         []suspects.Peer
+	partitioned map[netip.AddrPort]bool // the partitioned side: no messages pass between it and the others
+	nodes       map[string]*suspects.Suspects
 }
 
 func newFleet(t *testing.T) *fleet {
 	f := &fleet{
 		t: t, store: &store{records: map[quarantine.Fingerprint]quarantine.Stored{}}, dir: t.TempDir(),
-		cut: map[netip.AddrPort]bool{}, nodes: map[string]*suspects.Suspects{},
+		partitioned: map[netip.AddrPort]bool{}, nodes: map[string]*suspects.Suspects{},
 	}
 	var err error
 	f.ca, err = cert.NewAuthority(f.dir)
@@ -112,7 +112,7 @@
 	return f
 }
 
-// start starts an instance, whose zone is the first letter of its name.
+// start runs an instance whose zone is the first letter of its name.
 func (f *fleet) start(name string) {
 	qt.Assert(f.t, f.ca.Issue(name), qt.IsNil)
 	file := filepath.Join(f.dir, name)
@@ -124,7 +124,7 @@
 	transport.Cut(func(to netip.AddrPort) bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		return f.cut[to] != f.cut[self.Address]
+		return f.partitioned[to] != f.partitioned[self.Address]
 	})
 	f.mu.Lock()
 	f.all = append(f.all, self)
@@ -156,20 +156,20 @@
 	f.nodes[name] = s
 }
 
-// isolate cuts instances of a zone off from those of the other; "" heals.
+// isolate partitions the instances of a zone from all others; "" heals the partition.
 func (f *fleet) isolate(zone string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, p := range f.all {
-		f.cut[p.Address] = p.Zone == zone
+		f.partitioned[p.Address] = p.Zone == zone
 	}
 }
 
 func (f *fleet) eventually(what string, ok func() bool) {
 	f.t.Helper()
-	for deadline := time.Now().Add(patience); !ok(); time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); !ok(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			f.t.Fatalf("never came true: %s", what)
+			f.t.Fatalf("condition not met in time: %s", what)
 		}
 	}
 }
@@ -189,7 +189,8 @@
 
 func all() []string { return []string{"a1", "a2", "a3", "b1", "b2", "b3"} }
 
-// Two instances of different zones see one end each; all know, and so does the store.
+// Two instances of different zones observe one end each. All instances hold the request,
+// and its record is saved.
 func TestEndsAreAddedUp(t *testing.T) {
 	f := newFleet(t)
 	f.nodes["a3"].Ended(poison, "e1")
@@ -198,11 +199,11 @@
 	f.eventually("it is stored", func() bool { return f.store.count() == 1 })
 }
 
-// A zone is cut off while it learns of a request; once the cut is over the others
-// learn of it, also if the store is away all the while.
+// A zone learns of a request while it is partitioned. Once the partition heals, the other
+// zones learn of it, even if the store is unavailable all the time.
 func TestCutZoneTellsLater(t *testing.T) {
 	f := newFleet(t)
-	f.store.fail(true)
+	f.store.setUnavailable(true)
 	f.isolate("a")
 	f.nodes["a3"].Ended(poison, "e1")
 	f.nodes["a1"].Ended(poison, "e2")
@@ -210,11 +211,11 @@
 	qt.Assert(t, f.nodes["b1"].Holds(poison), qt.IsFalse)
 	f.isolate("")
 	f.eventually("all hold it", f.heldBy(poison, all()...))
-	f.store.fail(false)
+	f.store.setUnavailable(false)
 	f.eventually("it is stored", func() bool { return f.store.count() == 1 })
 }
 
-// What is cleared is cleared everywhere, and removed from the store.
+// A request that completes is cleared at all instances and removed from the store.
 func TestClearedEverywhere(t *testing.T) {
 	f := newFleet(t)
 	f.nodes["a1"].Ended(poison, "e1")
@@ -222,10 +223,10 @@
 	f.eventually("all hold it", f.heldBy(poison, all()...))
 	f.eventually("it is stored", func() bool { return f.store.count() == 1 })
 	for _, n := range f.nodes {
-		n.TakeStored(f.store.listed())
+		n.TakeStored(f.store.listing())
 	}
-	f.nodes["b2"].Completed(poison) // it was under way there
-	f.eventually("nobody holds it", func() bool {
+	f.nodes["b2"].Completed(poison) // it was already running there
+	f.eventually("no instance holds it", func() bool {
 		for _, n := range f.nodes {
 			if n.Holds(poison) {
 				return false
@@ -236,17 +237,18 @@
 	f.eventually("it is not stored", func() bool { return f.store.count() == 0 })
 }
 
-// Whoever starts learns of it from the store, or from its zone if the store is away.
+// A starting instance learns of held requests from the store, or from its zone if the
+// store is unavailable.
 func TestStartingInstances(t *testing.T) {
 	f := newFleet(t)
 	f.nodes["a1"].Ended(poison, "e1")
 	f.nodes["a1"].Ended(poison, "e2")
 	f.eventually("it is stored", func() bool { return f.store.count() == 1 })
-	f.start("a4") // hears nothing from the store
-	f.eventually("its zone tells it", f.heldBy(poison, "a4"))
+	f.start("a4") // receives nothing from the store
+	f.eventually("its zone informs it", f.heldBy(poison, "a4"))
 	f.isolate("b")
-	f.start("c1") // alone
-	f.nodes["c1"].TakeStored(f.store.listed())
+	f.start("c1") // the only instance of its zone
+	f.nodes["c1"].TakeStored(f.store.listing())
 	qt.Assert(t, f.nodes["c1"].Holds(poison), qt.IsTrue)
 	// An operator removes the record.
 	f.nodes["c1"].TakeStored(suspects.News{Released: []quarantine.Release{{Work: poison.Fingerprint(), Revision: 9}}})
