--- /dev/null
+++ b/internal/quarantine/ends.go
@@ -0,0 +1,45 @@
+package quarantine
+
+import "slices"
+
+// massEndThreshold is the number of endpoints from which simultaneous ends are attributed
+// to a common cause rather than to the requests that ran there.
+const massEndThreshold = 3
+
+// End records that an endpoint ended while it ran a request.
+type End struct {
+	work        Work
+	fingerprint Fingerprint // of work, computed once because many requests may end together
+	endpoint    string
+}
+
+// NewEnd returns the end of an endpoint, identified by its life, that ran a request.
+func NewEnd(w Work, endpoint string) End {
+	return End{work: w, fingerprint: w.Fingerprint(), endpoint: endpoint}
+}
+
+// Twice reports whether the request of last also ran at another endpoint among ends.
+func Twice(ends []End, last End) bool {
+	return slices.ContainsFunc(ends, func(e End) bool { return e.fingerprint == last.fingerprint && e.endpoint != last.endpoint })
+}
+
+// Blamed returns those of the collected ends that count against their requests: all of
+// them, unless several endpoints ended together. A fault that ends many endpoints at once
+// is unlikely to come from a request, so only requests that ran at two of them are
+// returned. This protects harmless requests that two successive waves of crashes interrupt.
+func Blamed(ends []End) []End {
+	endpoints := map[string]bool{}
+	for _, e := range ends {
+		endpoints[e.endpoint] = true
+	}
+	if len(endpoints) < massEndThreshold {
+		return ends
+	}
+	var blamed []End
+	for _, e := range ends {
+		if Twice(ends, e) {
+			blamed = append(blamed, e)
+		}
+	}
+	return blamed
+}
--- a/internal/quarantine/blame_test.go
+++ b/internal/quarantine/ends_test.go
@@ -8,9 +8,10 @@
 	"github.com/trailshed/trailshed/internal/quarantine"
 )
 
-// The load: waves of crashes end two fifths of 18 engines at once, with some ten runs
-// on each, and come again while those that were cut run elsewhere.
-func TestBlamed(t *testing.T) {
+// Guards against holding harmless requests during waves of crashes. In the load that this
+// follows, 40% of 18 engines, each with about ten runs, end at once, and the next wave
+// comes while the interrupted requests run elsewhere.
+func TestMassEnds(t *testing.T) {
 	tests := []struct {
 		name   string
 		ends   []quarantine.End
@@ -21,7 +22,7 @@
 		{"two endpoints, two requests", []quarantine.End{quarantine.NewEnd(work("x"), "a"), quarantine.NewEnd(work("y"), "b")}, 2},
 		{"three endpoints at once", []quarantine.End{quarantine.NewEnd(work("x"), "a"), quarantine.NewEnd(work("y"), "b"), quarantine.NewEnd(work("z"), "c")}, 0},
 		{"three endpoints at once, the same request at two", []quarantine.End{quarantine.NewEnd(work("x"), "a"), quarantine.NewEnd(work("y"), "b"), quarantine.NewEnd(work("x"), "c")}, 2},
-		{"a caller that comes three times at once", []quarantine.End{quarantine.NewEnd(work("x"), "a"), quarantine.NewEnd(work("x"), "b"), quarantine.NewEnd(work("x"), "c"), quarantine.NewEnd(work("y"), "c")}, 3},
+		{"three concurrent attempts of one caller", []quarantine.End{quarantine.NewEnd(work("x"), "a"), quarantine.NewEnd(work("x"), "b"), quarantine.NewEnd(work("x"), "c"), quarantine.NewEnd(work("y"), "c")}, 3},
 		{"the same end seen twice", []quarantine.End{quarantine.NewEnd(work("x"), "a"), quarantine.NewEnd(work("x"), "a"), quarantine.NewEnd(work("y"), "b")}, 3},
 	}
 	for _, test := range tests {
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -1,6 +1,6 @@
-// Package quarantine remembers which requests end the endpoints that run them,
-// over all tries of their callers and at all instances, so that such a request is
-// refused before it ends more.
+// Package quarantine records which requests end the endpoints that run them, across all
+// attempts by their callers and all instances, so that such a request is refused before
+// it ends more endpoints.
 package quarantine
 
 import (
@@ -14,12 +14,12 @@
 // Error marks every error of this package.
 var Error = errs.Class("quarantine")
 
-// Fingerprint names the work that a request asks for: the same for each try of it,
-// whatever the try is called, and whichever instance it comes to. Two workspaces
-// never share one, so that none can have another's requests refused.
+// Fingerprint identifies the work of a request. It is the same for each attempt,
+// whatever the attempt's id and whichever instance receives it. Two workspaces never
+// share a fingerprint, so that none can cause another's requests to be refused.
 type Fingerprint [16]byte
 
-// Work is what a request asks for, as far as tries of it have it in common.
+// Work is the part of a request that all its attempts have in common.
 type Work struct {
 	Workspace string // empty if it is not known
 	Method    string
@@ -28,7 +28,8 @@
 	Body      []byte
 }
 
-// Fingerprint is the first half of a SHA-256, since callers choose what goes in.
+// Fingerprint returns the first half of a SHA-256 of all parts. A cryptographic hash is
+// needed because callers choose the input.
 func (w Work) Fingerprint() Fingerprint {
 	h := sha256.New()
 	var size [8]byte
@@ -40,15 +41,15 @@
 	return Fingerprint(h.Sum(nil)[:len(Fingerprint{})])
 }
 
-// String is the fingerprint in hex, as in lines and keys.
+// String returns the fingerprint in hex, as used in log lines and store keys.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// ParseFingerprint reads what String writes.
+// ParseFingerprint parses the output of String.
 func ParseFingerprint(s string) (Fingerprint, error) {
 	var f Fingerprint
 	b, err := hex.DecodeString(s)
 	if err != nil || len(b) != len(f) {
-		return f, Error.New("%q is no fingerprint", s)
+		return f, Error.New("%q is not a fingerprint", s)
 	}
 	return Fingerprint(b), nil
 }
--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -16,8 +16,8 @@
 	// Output: true
 }
 
-// What differs in anything that the tries of one request have in common is another
-// request, also where the parts run into each other.
+// Requests that differ in any part of Work have different fingerprints, even if the
+// concatenation of the parts is the same.
 func TestFingerprintsDiffer(t *testing.T) {
 	work := quarantine.Work{Workspace: "acorn", Method: "POST", Host: "a", Target: "/x", Body: []byte("b")}
 	tests := []struct {
@@ -30,7 +30,7 @@
 		{"host", quarantine.Work{Workspace: "acorn", Method: "POST", Host: "c", Target: "/x", Body: []byte("b")}},
 		{"query", quarantine.Work{Workspace: "acorn", Method: "POST", Host: "a", Target: "/x?y", Body: []byte("b")}},
 		{"body", quarantine.Work{Workspace: "acorn", Method: "POST", Host: "a", Target: "/x", Body: []byte("c")}},
-		{"parts that run together", quarantine.Work{Workspace: "acorn", Method: "POST", Host: "a", Target: "/xb"}},
+		{"same concatenation", quarantine.Work{Workspace: "acorn", Method: "POST", Host: "a", Target: "/xb"}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -7,48 +7,49 @@
 )
 
 const (
-	// EndsMost is under how many endpoints a request may have ended before it is run
-	// no more. One may end by itself beside any request; a second under the same one,
-	// which has not run to its end in between, is taken for no chance. The users'
-	// bound is three, and three sends after that: one less leaves room for an end
-	// that nobody heard of.
-	EndsMost = 2
-	// VouchedMost is the same for a request that ran to its end somewhere within the
-	// last minutes, as those do that many callers send alike: a fault that ends all
-	// three endpoints of a service must not have it refused to everybody. That leaves
-	// two of the users' three sends.
-	VouchedMost = 4
+	// HoldThreshold is the number of ended endpoints at which a request becomes held. One
+	// endpoint may end by coincidence while any request runs; a second end with the same
+	// request, without a completion in between, is not considered a coincidence. The
+	// users' bound is three ended endpoints, and three sends after that; a threshold
+	// below it leaves room for an end that no instance observed.
+	HoldThreshold = 2
+	// RecentHoldThreshold is the threshold for a request that ran to completion at some
+	// instance within the last minutes, as requests do that many callers send
+	// identically. A fault that ends all three endpoints of a service must not cause
+	// such a request to be refused to all callers. The threshold leaves two of the
+	// users' three sends.
+	RecentHoldThreshold = 4
 )
 
-// Record is what is known of one request under which endpoints have ended. Records
-// of one request merge into the same one in whatever order they come.
+// Record holds what is known of one request that ran while endpoints ended. Merging the
+// records of a request gives the same result in any order.
 type Record struct {
 	Work Fingerprint `cbor:"1,keyasint"`
-	// Ended are the ids of lives of endpoints, sorted.
+	// Ended lists the ids of the endpoint lives that ended, sorted.
 	Ended []string `cbor:"2,keyasint,omitempty"`
-	// Cleared is when the request was last shown to run to its end; 0 if it was not.
-	// What had ended until then counts no more.
+	// Cleared is when the request was last cleared, by running to completion or by the
+	// removal of its stored record; 0 if never. Earlier ends do not count any more.
 	Cleared clock.Millis `cbor:"3,keyasint,omitempty"`
-	// Seen is when an endpoint last ended under it, or when it was cleared.
+	// Seen is when an endpoint that ran the request last ended, or when it was cleared.
 	Seen clock.Millis `cbor:"4,keyasint"`
-	// Vouched says that it had run to its end not long before.
+	// Vouched is set if the request ran to completion shortly before an end.
 	Vouched bool `cbor:"5,keyasint,omitempty"`
 }
 
-// Held says whether the request is to be run no more.
+// Held reports whether the request must not be run any more.
 func (r Record) Held() bool {
 	if r.Vouched {
-		return len(r.Ended) >= VouchedMost
+		return len(r.Ended) >= RecentHoldThreshold
 	}
-	return len(r.Ended) >= EndsMost
+	return len(r.Ended) >= HoldThreshold
 }
 
-// equal says whether r tells the same as o.
+// equal reports whether r and o agree in all but the time of the last event.
 func (r Record) equal(o Record) bool {
 	return r.Cleared == o.Cleared && r.Vouched == o.Vouched && slices.Equal(r.Ended, o.Ended)
 }
 
-// merge joins what two instances know.
+// merge combines two records of the same request.
 func merge(a, b Record) Record {
 	seen := max(a.Seen, b.Seen)
 	switch {
@@ -63,6 +64,6 @@
 	slices.Sort(ended)
 	ended = slices.Compact(ended)
 	return Record{
-		Work: a.Work, Cleared: a.Cleared, Seen: seen, Vouched: a.Vouched || b.Vouched, Ended: ended[:min(len(ended), VouchedMost)],
+		Work: a.Work, Cleared: a.Cleared, Seen: seen, Vouched: a.Vouched || b.Vouched, Ended: ended[:min(len(ended), RecentHoldThreshold)],
 	}
 }
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -10,13 +10,14 @@
 )
 
 const (
-	// heldFor is how long a request is refused after an endpoint last ended under
-	// it: by then somebody has looked into it. Operators end it sooner.
-	heldFor = 24 * time.Hour
-	// suspectedFor is the same for what is not refused yet, and for what was cleared.
-	suspectedFor = time.Hour
-	// recordsMost bounds the records; at about 250 bytes each they take a megabyte.
-	recordsMost = 4096
+	// heldRetention is how long a request is refused after the last end of an endpoint that
+	// ran it, which is long enough for an operator to investigate. Operators can
+	// release it earlier.
+	heldRetention = 24 * time.Hour
+	// suspectRetention is the retention of records of suspected and of cleared requests.
+	suspectRetention = time.Hour
+	// maxRecords bounds the table; at about 250 bytes a record it takes a megabyte.
+	maxRecords = 4096
 )
 
 // Stored is a record in the platform's store.
@@ -25,35 +26,35 @@
 	Revision int64 // of the store
 }
 
-// Release says that a request's record was removed from the store.
+// Release is the removal of a request's record from the store.
 type Release struct {
 	Work     Fingerprint
 	Revision int64 // of the store
 }
 
-// Table is what one instance knows. It is not safe for concurrent use.
+// Table holds the records that one instance knows. It is not safe for concurrent use.
 type Table struct {
-	records map[Fingerprint]*held
-	vouched *vouched
+	records     map[Fingerprint]*entry
+	completions *completions
 }
 
-// held is a record and where it stands.
-type held struct {
+// entry is a record with its local state.
+type entry struct {
 	Record
-	revision int64        // of the store, which has it; 0: it is not known to
-	since    clock.Millis // when it was first held here
-	own      bool         // this instance saw the end for which it is held
+	revision  int64        // of the stored record; 0 if the store is not known to have it
+	heldSince clock.Millis // when the request became held at this instance
+	local     bool         // this instance observed the end that made the request held, or a later one
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table {
-	return &Table{records: map[Fingerprint]*held{}, vouched: newVouched()}
+	return &Table{records: map[Fingerprint]*entry{}, completions: newCompletions()}
 }
 
-// Empty says whether no request is suspected.
+// Empty reports whether the table has no records.
 func (t *Table) Empty() bool { return len(t.records) == 0 }
 
-// Holds says whether the request is to be run no more.
+// Holds reports whether the request is held and must not be run.
 func (t *Table) Holds(w Work) bool {
 	if t.Empty() {
 		return false
@@ -62,29 +63,29 @@
 	return h != nil && h.Held()
 }
 
-// Ended takes that an endpoint ended while it ran the request. It returns what is
-// to be told to others, if that is news.
-func (t *Table) Ended(now clock.Millis, w Work, endpoint string) (Record, bool) {
+// RecordEnd records that an endpoint ended while it ran the request. It returns the merged
+// record, and true if it changed and must be announced to other instances.
+func (t *Table) RecordEnd(now clock.Millis, w Work, endpoint string) (Record, bool) {
 	return t.Blame(now, NewEnd(w, endpoint))
 }
 
-// Blame is Ended for an end that was seen before.
+// Blame is RecordEnd for an End that was created earlier.
 func (t *Table) Blame(now clock.Millis, e End) (Record, bool) {
-	r := Record{Work: e.print, Ended: []string{e.endpoint}, Seen: now, Vouched: t.vouched.has(now, e.work)}
+	r := Record{Work: e.fingerprint, Ended: []string{e.endpoint}, Seen: now, Vouched: t.completions.has(now, e.work)}
 	if before := t.records[r.Work]; before != nil {
 		r.Cleared = before.Cleared
 	}
-	merged, news := t.take(now, r)
+	merged, news := t.mergeRecord(now, r)
 	if h := t.records[r.Work]; h != nil && news {
-		h.own = true
+		h.local = true
 	}
 	return merged, news
 }
 
-// Completed takes that the request ran to its end, which shows that it ends no
-// endpoint. It returns what is to be told to others, if it was suspected.
+// Completed records that the request ran to completion, which clears it. If the request
+// was suspected, it returns the record to announce to other instances, and true.
 func (t *Table) Completed(now clock.Millis, w Work) (Record, bool) {
-	t.vouched.add(now, w)
+	t.completions.add(now, w)
 	if t.Empty() {
 		return Record{}, false
 	}
@@ -92,50 +93,50 @@
 	if h == nil || len(h.Ended) == 0 {
 		return Record{}, false
 	}
-	return t.take(now, Record{Work: h.Work, Cleared: max(now, h.Cleared+1), Seen: now})
+	return t.mergeRecord(now, Record{Work: h.Work, Cleared: max(now, h.Cleared+1), Seen: now})
 }
 
-// Take joins what another instance knows with what is known here, and says whether
-// that is news here.
-func (t *Table) Take(now clock.Millis, r Record) (Record, bool) { return t.take(now, r) }
+// Take merges a record from another instance into the table. It returns the merged
+// record and whether it changed.
+func (t *Table) Take(now clock.Millis, r Record) (Record, bool) { return t.mergeRecord(now, r) }
 
-func (t *Table) take(now clock.Millis, r Record) (Record, bool) {
-	if len(r.Ended) == 0 && r.Cleared == 0 || now.Sub(r.Seen) > keptFor(r) {
+func (t *Table) mergeRecord(now clock.Millis, r Record) (Record, bool) {
+	if len(r.Ended) == 0 && r.Cleared == 0 || now.Sub(r.Seen) > retention(r) {
 		return Record{}, false
 	}
 	h := t.records[r.Work]
 	if h == nil {
 		t.makeRoom(now)
-		h = &held{Record: Record{Work: r.Work}}
+		h = &entry{Record: Record{Work: r.Work}}
 		t.records[r.Work] = h
 	}
 	merged := merge(h.Record, r)
 	news := !merged.equal(h.Record)
 	if merged.Held() && !h.Held() {
-		h.since, h.own = now, false
+		h.heldSince, h.local = now, false
 	}
 	h.Record = merged
 	return merged, news
 }
 
-func keptFor(r Record) time.Duration {
+func retention(r Record) time.Duration {
 	if r.Held() {
-		return heldFor
+		return heldRetention
 	}
-	return suspectedFor
+	return suspectRetention
 }
 
-// makeRoom drops the record that was seen the longest ago, one that is not held if
-// there is one, when the table is full.
+// makeRoom drops a record if the table is full: the least recently seen one that is not
+// held or, if all are held, the least recently seen one.
 func (t *Table) makeRoom(now clock.Millis) {
-	if len(t.records) < recordsMost {
+	if len(t.records) < maxRecords {
 		return
 	}
 	t.Expire(now)
-	if len(t.records) < recordsMost {
+	if len(t.records) < maxRecords {
 		return
 	}
-	var oldest *held
+	var oldest *entry
 	for _, h := range t.records {
 		if oldest == nil || !h.Held() && oldest.Held() || h.Held() == oldest.Held() && h.Seen < oldest.Seen {
 			oldest = h
@@ -144,46 +145,49 @@
 	delete(t.records, oldest.Work)
 }
 
-// Expire drops what is too old and returns those of it that the store has.
+// Expire drops the records that are past their retention, and returns those of them that
+// the store has.
 func (t *Table) Expire(now clock.Millis) []Release {
-	var old []Release
+	var expired []Release
 	for work, h := range t.records {
-		if now.Sub(h.Seen) <= keptFor(h.Record) {
+		if now.Sub(h.Seen) <= retention(h.Record) {
 			continue
 		}
 		delete(t.records, work)
 		if h.revision != 0 {
-			old = append(old, Release{Work: work, Revision: h.revision})
+			expired = append(expired, Release{Work: work, Revision: h.revision})
 		}
 	}
-	return old
+	return expired
 }
 
-// Saved takes a record that the store has, and says whether it is news here.
+// Saved merges a record that the store has. It returns the merged record and whether it
+// changed.
 func (t *Table) Saved(now clock.Millis, s Stored) (Record, bool) {
-	r, news := t.take(now, s.Record)
+	r, news := t.mergeRecord(now, s.Record)
 	if h := t.records[s.Work]; h != nil {
 		h.revision = max(h.revision, s.Revision)
 	}
 	return r, news
 }
 
-// Released takes that a record was removed from the store, by an operator or
-// because the request was cleared. It says whether the request was held here.
-func (t *Table) Released(now clock.Millis, l Release) (Record, bool) {
-	h := t.records[l.Work]
-	if h == nil || h.revision == 0 || h.revision > l.Revision {
+// Released handles the removal of a record from the store, by an operator or because the
+// request was cleared. If the request was held here, it clears it and returns the record
+// and true.
+func (t *Table) Released(now clock.Millis, removal Release) (Record, bool) {
+	h := t.records[removal.Work]
+	if h == nil || h.revision == 0 || h.revision > removal.Revision {
 		return Record{}, false
 	}
 	h.revision = 0
 	if !h.Held() {
 		return Record{}, false
 	}
-	return t.take(now, Record{Work: h.Work, Cleared: max(now, h.Cleared+1), Seen: now})
+	return t.mergeRecord(now, Record{Work: h.Work, Cleared: max(now, h.Cleared+1), Seen: now})
 }
 
-// Missing are the records that the store had, of which a listing of it, complete up
-// to a revision, tells nothing.
+// Missing returns the records that the store had, but that a full listing of it as of
+// revision does not contain.
 func (t *Table) Missing(all []Stored, revision int64) []Release {
 	listed := map[Fingerprint]bool{}
 	for _, s := range all {
@@ -198,20 +202,20 @@
 	return gone
 }
 
-// Unsaved are the held records that the store is not known to have. Who saw the
-// last end saves it at once; whoever watches the store does so if it is not there
-// after grace.
+// Unsaved returns the held records that the store is not known to have and that this
+// instance should save. The instance that observed the last end saves the record at once;
+// those that watch the store do so if it is still missing after grace.
 func (t *Table) Unsaved(now clock.Millis, watches bool, grace time.Duration) []Record {
 	var list []Record
 	for _, h := range t.records {
-		if h.Held() && h.revision == 0 && (h.own || watches && now.Sub(h.since) >= grace) {
+		if h.Held() && h.revision == 0 && (h.local || watches && now.Sub(h.heldSince) >= grace) {
 			list = append(list, h.Record)
 		}
 	}
 	return sorted(list)
 }
 
-// Unneeded are the records that the store has of requests that are not held.
+// Unneeded returns the stored records of requests that are not held any more.
 func (t *Table) Unneeded() []Release {
 	var list []Release
 	for work, h := range t.records {
@@ -222,7 +226,7 @@
 	return list
 }
 
-// Digest tells two tables that hold different requests apart.
+// Digest returns a hash of the set of held requests.
 func (t *Table) Digest() uint64 {
 	digest := uint64(0)
 	for work, h := range t.records {
@@ -233,9 +237,9 @@
 	return digest
 }
 
-// Firm are the records of requests that are held or were cleared, the last seen
-// first, at most so many.
-func (t *Table) Firm(most int) []Record {
+// Firm returns up to limit records of requests that are held or were cleared, the most
+// recently seen first.
+func (t *Table) Firm(limit int) []Record {
 	var list []Record
 	for _, h := range t.records {
 		if h.Held() || h.Cleared != 0 {
@@ -243,10 +247,10 @@
 		}
 	}
 	list = sorted(list)
-	return list[:min(len(list), most)]
+	return list[:min(len(list), limit)]
 }
 
-// Count is how many requests are held, and how many suspected.
+// Count returns the numbers of held and of suspected requests.
 func (t *Table) Count() (heldNow, suspected int) {
 	for _, h := range t.records {
 		switch {
@@ -259,7 +263,7 @@
 	return heldNow, suspected
 }
 
-// sorted orders records by when they were last seen, the newest first.
+// sorted sorts records in place, the most recently seen first, and returns them.
 func sorted(list []Record) []Record {
 	slices.SortFunc(list, func(a, b Record) int {
 		return cmp.Or(cmp.Compare(b.Seen, a.Seen), slices.Compare(a.Work[:], b.Work[:]))
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -22,20 +22,20 @@
 func ExampleTable() {
 	t := quarantine.NewTable()
 	summary := work("summary")
-	t.Ended(start, summary, "engine-1")
+	t.RecordEnd(start, summary, "engine-1")
 	fmt.Println(t.Holds(summary))
-	t.Ended(start+200, summary, "engine-2")
+	t.RecordEnd(start+200, summary, "engine-2")
 	fmt.Println(t.Holds(summary), t.Holds(work("other")))
 	// Output:
 	// false
 	// true false
 }
 
-// What happens to one request, and whether it is refused then.
+// Each case is a sequence of events of one request, and whether it is held afterwards.
 func TestHolds(t *testing.T) {
 	type step struct {
-		end      string // of an endpoint under it
-		complete bool   // it runs to its end
+		end      string // the endpoint that ends while it runs the request
+		complete bool   // the request runs to completion
 		pass     time.Duration
 	}
 	tests := []struct {
@@ -45,11 +45,11 @@
 	}{
 		{"one end", []step{{end: "a"}}, false},
 		{"two ends", []step{{end: "a"}, {end: "b"}}, true},
-		{"the same end, seen twice", []step{{end: "a"}, {end: "a"}}, false},
+		{"the same end observed twice", []step{{end: "a"}, {end: "a"}}, false},
 		{"it completes between two ends", []step{{end: "a"}, {complete: true}, {end: "b"}}, false},
 		{"it completes elsewhere after two ends", []step{{end: "a"}, {end: "b"}, {complete: true}}, false},
-		{"it completed a moment ago, three ends", []step{{complete: true}, {end: "a"}, {end: "b"}, {end: "c"}}, false},
-		{"it completed a moment ago, four ends", []step{{complete: true}, {end: "a"}, {end: "b"}, {end: "c"}, {end: "d"}}, true},
+		{"it completed just before, three ends", []step{{complete: true}, {end: "a"}, {end: "b"}, {end: "c"}}, false},
+		{"it completed just before, four ends", []step{{complete: true}, {end: "a"}, {end: "b"}, {end: "c"}, {end: "d"}}, true},
 		{"it completed long ago", []step{{complete: true, pass: 3 * time.Minute}, {end: "a"}, {end: "b"}}, true},
 		{"two ends, some hours later", []step{{end: "a"}, {end: "b", pass: 20 * time.Hour}}, true},
 		{"two ends, days later", []step{{end: "a"}, {end: "b", pass: 30 * time.Hour}}, false},
@@ -61,7 +61,7 @@
 				if s.complete {
 					table.Completed(now, work("w"))
 				} else {
-					table.Ended(now, work("w"), s.end)
+					table.RecordEnd(now, work("w"), s.end)
 				}
 				now = now.Add(s.pass + time.Millisecond)
 			}
@@ -71,8 +71,8 @@
 	}
 }
 
-// Instances tell each other in any order, some things twice, some not at all; once
-// all has been told, all know the same.
+// Instances exchange records in any order, with duplicates and losses. Once every table
+// has received every record, all tables agree.
 func TestTablesAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const instances = 3
@@ -96,7 +96,7 @@
 					r, news = tables[i].Take(now, told[rapid.IntRange(0, len(told)-1).Draw(t, "which")])
 				}
 			default:
-				r, news = tables[i].Ended(now, w, "e"+strconv.Itoa(rapid.IntRange(0, 5).Draw(t, "endpoint")))
+				r, news = tables[i].RecordEnd(now, w, "e"+strconv.Itoa(rapid.IntRange(0, 5).Draw(t, "endpoint")))
 			}
 			if news {
 				told = append(told, r)
@@ -123,19 +123,19 @@
 	})
 }
 
-// What the store has, lacks and is told to remove.
+// Which records are to be saved in the store, are missing there or are to be removed.
 func TestStoredRecords(t *testing.T) {
 	c := qt.New(t)
 	const grace = time.Second
 	own, other := quarantine.NewTable(), quarantine.NewTable()
-	own.Ended(start, work("w"), "a")
+	own.RecordEnd(start, work("w"), "a")
 	c.Assert(own.Unsaved(start, true, grace), qt.HasLen, 0) // suspected only
-	r, _ := own.Ended(start+1, work("w"), "b")
+	r, _ := own.RecordEnd(start+1, work("w"), "b")
 	c.Assert(own.Unsaved(start+1, false, grace), qt.HasLen, 1)
 	other.Take(start+2, r)
 	c.Assert(other.Unsaved(start+2, true, grace), qt.HasLen, 0)
 	c.Assert(other.Unsaved(start+1100, false, grace), qt.HasLen, 0)
-	c.Assert(other.Unsaved(start+1100, true, grace), qt.HasLen, 1) // whoever saw it has not saved it
+	c.Assert(other.Unsaved(start+1100, true, grace), qt.HasLen, 1) // the instance that observed the end has not saved it
 
 	stored := quarantine.Stored{Record: r, Revision: 7}
 	own.Saved(start+3, stored)
@@ -153,18 +153,18 @@
 	_, news = other.Released(start+11, quarantine.Release{Work: r.Work, Revision: 8})
 	c.Assert(news, qt.IsTrue)
 	c.Assert(other.Holds(work("w")), qt.IsFalse)
-	// A later end counts anew.
-	other.Ended(start+20, work("w"), "c")
+	// After that, ends count from zero.
+	other.RecordEnd(start+20, work("w"), "c")
 	c.Assert(other.Holds(work("w")), qt.IsFalse)
 }
 
-// The table is bounded; what is held outlasts what is suspected.
+// The table is bounded, and drops suspected requests before held ones.
 func TestTableIsBounded(t *testing.T) {
 	table := quarantine.NewTable()
-	table.Ended(start, work("held"), "a")
-	table.Ended(start, work("held"), "b")
+	table.RecordEnd(start, work("held"), "a")
+	table.RecordEnd(start, work("held"), "b")
 	for i := range 5000 {
-		table.Ended(start.Add(time.Duration(i)*time.Millisecond), work(strconv.Itoa(i)), "a")
+		table.RecordEnd(start.Add(time.Duration(i)*time.Millisecond), work(strconv.Itoa(i)), "a")
 	}
 	held, suspected := table.Count()
 	qt.Assert(t, held, qt.Equals, 1)
@@ -172,7 +172,8 @@
 	qt.Assert(t, table.Firm(10), qt.HasLen, 1)
 }
 
-// What one request costs that nobody suspects: at its end it is remembered.
+// Measures the cost of a request that is not suspected: a lookup, and recording its
+// completion.
 func BenchmarkCompleted(b *testing.B) {
 	for _, size := range []int{0, 5_000, 200_000} {
 		b.Run(strconv.Itoa(size), func(b *testing.B) {
