--- a/internal/peer/certificates.go
+++ b/internal/peer/certificates.go
@@ -6,9 +6,9 @@
 	"os"
 )
 
-// Certificates reads the PEM files of a node's mutual TLS. Both sides must
-// present a certificate signed by the authority in ca; names are checked by
-// signature, not by address, since addresses are plain IP numbers that move.
+// Certificates returns a mutual TLS configuration from PEM files. Both sides must
+// present a certificate signed by the authority in ca. It is not checked against the
+// peer's address, because peers are addressed by IP and their addresses change.
 func Certificates(ca, certificate, key string) (*tls.Config, error) {
 	pem, err := os.ReadFile(ca)
 	if err != nil {
@@ -37,14 +37,15 @@
 	}, nil
 }
 
-// serverName is the DNS name that every node's certificate carries.
+// serverName is the DNS name in every node's certificate.
 const serverName = "trailshed"
 
-// curves are those of the key exchange. The default one is a hybrid that costs several
-// times as much, in processor time and in bytes: a zone's planner has a connection with
-// each of hundreds of instances.
+// curves are the allowed key exchanges. The default of crypto/tls is a hybrid that costs
+// several times as much processor time and bytes, and a zone's planner has a connection
+// with each of hundreds of instances.
 var curves = []tls.CurveID{tls.X25519}
 
+// signedBy checks that the pair's certificate is valid for both TLS roles under pool.
 func signedBy(pool *x509.CertPool, pair tls.Certificate) error {
 	leaf, err := x509.ParseCertificate(pair.Certificate[0])
 	if err != nil {
--- a/internal/peer/export_test.go
+++ b/internal/peer/export_test.go
@@ -1,4 +1,4 @@
 package peer
 
-// Lose ends a transport as a loss of power does: nobody is told.
-func (t *Transport) Lose() { _ = t.quic.Conn.Close() }
+// Kill ends a transport as a loss of power does, without notifying its peers.
+func (t *Transport) Kill() { _ = t.quic.Conn.Close() }
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -8,34 +8,34 @@
 	"github.com/klauspost/compress/s2"
 )
 
-// maxFrame bounds what one message may occupy on the wire, in bytes.
+// maxFrame bounds the size of an encoded frame, and of a decompressed payload, in bytes.
 const maxFrame = 4 << 20
 
-// frame is one message on a stream: a length of four bytes, then CBOR.
+// frame is one message on a stream. It is encoded as a length of four bytes and CBOR.
 type frame struct {
-	UUID    string `cbor:"1,keyasint"`
-	Topic   string `cbor:"2,keyasint"`
-	ReplyTo string `cbor:"3,keyasint,omitempty"`
-	Address string `cbor:"4,keyasint"`
-	Payload []byte `cbor:"5,keyasint"`
-	Packed  bool   `cbor:"6,keyasint,omitempty"` // Payload is compressed
+	UUID       string `cbor:"1,keyasint"`
+	Topic      string `cbor:"2,keyasint"`
+	ReplyTo    string `cbor:"3,keyasint,omitempty"`
+	Address    string `cbor:"4,keyasint"`
+	Payload    []byte `cbor:"5,keyasint"`
+	Compressed bool   `cbor:"6,keyasint,omitempty"` // Payload is compressed
 }
 
-// packFrom is the length in bytes from which a payload is compressed. Lists of endpoints
-// and instances are long and much alike.
-const packFrom = 2 << 10
+// minCompressSize is the length in bytes from which a payload is compressed. Lists of
+// endpoints and instances are long and repetitive.
+const minCompressSize = 2 << 10
 
-// pack compresses a payload that is worth it.
-func pack(payload []byte) (out []byte, packed bool) {
-	if len(payload) < packFrom {
+// compress compresses a payload of at least minCompressSize bytes.
+func compress(payload []byte) (out []byte, compressed bool) {
+	if len(payload) < minCompressSize {
 		return payload, false
 	}
 	return s2.Encode(nil, payload), true
 }
 
-// unpack undoes pack.
-func (f *frame) unpack() error {
-	if !f.Packed {
+// decompress reverses compress.
+func (f *frame) decompress() error {
+	if !f.Compressed {
 		return nil
 	}
 	size, err := s2.DecodedLen(f.Payload)
@@ -46,7 +46,7 @@
 		return Error.New("payload of %d bytes is over the limit of %d", size, maxFrame)
 	}
 	f.Payload, err = s2.Decode(nil, f.Payload)
-	f.Packed = false
+	f.Compressed = false
 	return Error.Wrap(err)
 }
 
@@ -77,5 +77,5 @@
 	if err := cbor.Unmarshal(body, &f); err != nil {
 		return frame{}, Error.Wrap(err)
 	}
-	return f, f.unpack()
+	return f, f.decompress()
 }
--- a/internal/peer/pinned.go
+++ b/internal/peer/pinned.go
@@ -13,17 +13,18 @@
 	"time"
 )
 
-// identityLife is how long a process's own certificate is valid; it is made
-// anew at each start. Clocks may differ and step by hours.
-const identityLife = 10 * 365 * 24 * time.Hour
+// identityValidity is how long before and after its creation a process's own certificate
+// is valid. Each start creates a new one. The period is long because clocks may differ
+// and step by hours.
+const identityValidity = 10 * 365 * 24 * time.Hour
 
-// Identity is a process's own certificate, known to others by its fingerprint.
+// Identity is a process's self-signed certificate, which peers trust by its fingerprint.
 type Identity struct {
 	Fingerprint string // SHA-256 of the certificate, in hex
 	certificate tls.Certificate
 }
 
-// NewIdentity makes a key and a certificate for the node called name.
+// NewIdentity generates a key and a certificate for the node called name.
 func NewIdentity(name string) (Identity, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -32,7 +33,7 @@
 	now := time.Now()
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(now.UnixNano()), Subject: pkix.Name{CommonName: name},
-		NotBefore: now.Add(-identityLife), NotAfter: now.Add(identityLife),
+		NotBefore: now.Add(-identityValidity), NotAfter: now.Add(identityValidity),
 		KeyUsage: x509.KeyUsageDigitalSignature, DNSNames: []string{serverName},
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
@@ -45,8 +46,9 @@
 	}, nil
 }
 
-// Pinned returns mutual TLS by fingerprint: trusted names the node that has a
-// certificate with a fingerprint, and the certificate must carry that name.
+// Pinned returns a mutual TLS configuration that verifies peers by fingerprint. trusted
+// returns the name of the node whose certificate has a fingerprint, and the certificate
+// must carry that name.
 func Pinned(own Identity, trusted func(fingerprint string) (name string, ok bool)) *tls.Config {
 	verify := func(raw [][]byte, _ [][]*x509.Certificate) error {
 		if len(raw) == 0 {
@@ -65,8 +67,8 @@
 	return &tls.Config{
 		Certificates: []tls.Certificate{own.certificate},
 		ClientAuth:   tls.RequireAnyClientCert,
-		// The chain of a certificate that signs itself says nothing; the
-		// fingerprint in verify stands in its place.
+		// A self-signed certificate has no chain to verify; verify checks its
+		// fingerprint instead.
 		InsecureSkipVerify:     true,
 		VerifyPeerCertificate:  verify,
 		SessionTicketsDisabled: true, // a resumed session would skip verify
--- a/internal/peer/anew_test.go
+++ b/internal/peer/restart_test.go
@@ -13,13 +13,14 @@
 	"github.com/trailshed/trailshed/internal/peer"
 )
 
-// processes start under certificates of their own, which all know.
+// processes starts transports with self-signed certificates, whose fingerprints all of
+// them trust.
 type processes struct {
 	t     *testing.T
 	names sync.Map // by fingerprint
 }
 
-// start returns a process that doubles what it is asked.
+// start runs a transport that handles the call "double".
 func (p *processes) start(name string, address netip.AddrPort) *node {
 	p.t.Helper()
 	own, err := peer.NewIdentity(name)
@@ -39,7 +40,7 @@
 	return n
 }
 
-func (p *processes) ask(from, to *node) error {
+func (p *processes) call(from, to *node) error {
 	ctx, cancel := context.WithTimeout(p.t.Context(), time.Second)
 	defer cancel()
 	got, err := peer.Ask[int, int](ctx, from.Transport, to.Address(), "double", 21)
@@ -49,20 +50,20 @@
 	return err
 }
 
-// Who starts anew at its address after an end that nobody was told of is answered at once.
-// Peers take their connections to the old process for sound until an idle timeout of six
-// seconds, in which no answer reached the new one, from peers or planners.
-func TestWhoStartsAnewIsAnswered(t *testing.T) {
+// A process that ends without closing its connections and restarts at the same address
+// gets replies at once. Guards against peers that reply on their connections to the old
+// process, which look alive until the idle timeout of six seconds.
+func TestRestartedPeerGetsReplies(t *testing.T) {
 	tests := []struct {
 		name   string
-		before func(p *processes, a, b *node) error // b is lost after it
-		after  func(a, b *node)                     // while nobody is there
+		before func(p *processes, a, b *node) error // run before b is killed
+		after  func(a, b *node)                     // run while b is down
 	}{
-		{"it had dialled", func(p *processes, a, b *node) error { return p.ask(b, a) }, nil},
-		{"it was dialled", func(p *processes, a, b *node) error { return p.ask(a, b) }, nil},
+		{"it had dialled", func(p *processes, a, b *node) error { return p.call(b, a) }, nil},
+		{"it was dialled", func(p *processes, a, b *node) error { return p.call(a, b) }, nil},
 		{
 			"more was sent to it",
-			func(p *processes, a, b *node) error { return p.ask(a, b) },
+			func(p *processes, a, b *node) error { return p.call(a, b) },
 			func(a, b *node) {
 				for range 200 {
 					_ = peer.Send(a.Transport, b.Address(), "news", make([]byte, 10_000))
@@ -73,7 +74,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			t.Parallel() // it mostly waits
+			t.Parallel() // mostly waiting
 			c := qt.New(t)
 			p := &processes{t: t}
 			local := netip.MustParseAddrPort("127.0.0.1:0")
@@ -81,18 +82,18 @@
 			if test.before != nil {
 				c.Assert(test.before(p, a, b), qt.IsNil)
 			}
-			b.Lose()
+			b.Kill()
 			if test.after != nil {
 				test.after(a, b)
 			}
-			time.Sleep(700 * time.Millisecond) // a dial that fails is repeated less and less often
+			time.Sleep(700 * time.Millisecond) // a dial in progress retransmits at growing intervals
 			b = p.start("b", b.Address())
-			err := p.ask(b, a)
-			if err != nil { // what was on its way to the old process may be lost
-				err = p.ask(b, a)
+			err := p.call(b, a)
+			if err != nil { // a frame in flight to the old process may be lost
+				err = p.call(b, a)
 			}
 			c.Assert(err, qt.IsNil)
-			c.Assert(p.ask(a, b), qt.IsNil)
+			c.Assert(p.call(a, b), qt.IsNil)
 		})
 	}
 }
--- a/internal/peer/subscription.go
+++ b/internal/peer/subscription.go
@@ -6,8 +6,8 @@
 	"github.com/ThreeDotsLabs/watermill/message"
 )
 
-// subscription passes the messages of one topic to watermill. Senders write to
-// in, which is never closed; forward alone writes to and closes out.
+// subscription passes the messages of one topic to watermill. Writers send on in, which
+// is never closed; only forward writes to and closes out.
 type subscription struct {
 	in   chan *message.Message
 	out  chan *message.Message
@@ -36,7 +36,8 @@
 	}
 }
 
-// deliver waits until m is acknowledged, which keeps one sender's order.
+// deliver blocks until m is acknowledged, which preserves the order of a sender's
+// messages. It reports whether m was acknowledged.
 func (s *subscription) deliver(m *message.Message) bool {
 	select {
 	case s.in <- m:
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -1,7 +1,7 @@
-// Package peer carries watermill messages between trailshed processes: CBOR
-// frames on QUIC streams under mutual TLS. Messages of one sender arrive in
-// order on a topic; a message may be lost when its connection is, never
-// doubled. The sender's name is the common name of its certificate.
+// Package peer carries watermill messages between trailshed processes, as CBOR frames on
+// QUIC streams with mutual TLS. Messages of one sender arrive in order on a topic. A
+// message may be lost with its connection but is never duplicated. The sender's name is
+// the common name of its certificate.
 package peer
 
 import (
@@ -27,52 +27,52 @@
 
 // Metadata keys of a watermill message.
 const (
-	To      = "to"       // address of the receiver, set by the sender
-	From    = "from"     // certified name of the sender
-	Address = "address"  // listening address of the sender
-	replyTo = "reply_to" // UUID of the message that this one answers
-	packed  = "packed"   // set where the payload is compressed
+	To            = "to"       // address of the receiver, set by the sender
+	From          = "from"     // certified name of the sender
+	Address       = "address"  // listening address of the sender
+	replyTo       = "reply_to" // UUID of the request that this message replies to
+	compressedKey = "packed"   // set if the payload is compressed
 )
 
 const (
-	handshakeTimeout = 2 * time.Second
-	idleTimeout      = 6 * time.Second
-	keepAlive        = 2 * time.Second
-	queueLength      = 4096
-	protocol         = "trailshed/1"
+	handshakeTimeout   = 2 * time.Second
+	idleTimeout        = 6 * time.Second
+	keepAliveInterval  = 2 * time.Second
+	defaultQueueLength = 4096
+	protocol           = "trailshed/1"
 )
 
 // Transport is a watermill publisher and subscriber over QUIC.
 type Transport struct {
-	name    string
-	address netip.AddrPort
-	tls     *tls.Config
-	quic    *quic.Transport
-	listen  *quic.Listener
-	scope   tally.Scope
-	queue   int // frames that may wait for one address
-	ctx     context.Context
-	stop    context.CancelFunc
-	group   sync.WaitGroup
-	cut     atomic.Pointer[func(netip.AddrPort) bool]
-
-	// Lock order: lanes, then a lane's own, then asks; none is held while sending.
-	lanesMu sync.Mutex
-	lanes   map[netip.AddrPort]*lane
-	dialled map[netip.AddrPort]*quic.Conn // by peers, by the addresses that they tell
-	asksMu  sync.Mutex
-	asks    map[string]ask
-	subsMu  sync.RWMutex
-	subs    map[string]*subscription
+	name        string
+	address     netip.AddrPort
+	tls         *tls.Config
+	quic        *quic.Transport
+	listen      *quic.Listener
+	scope       tally.Scope
+	queueLength int // maximum number of queued frames per address
+	ctx         context.Context
+	stop        context.CancelFunc
+	group       sync.WaitGroup
+	cut         atomic.Pointer[func(netip.AddrPort) bool]
+
+	// Lock order: linksMu, a link's mu, callsMu. None of them is held while sending.
+	linksMu      sync.Mutex
+	links        map[netip.AddrPort]*link
+	inboundConns map[netip.AddrPort]*quic.Conn // dialled by peers, keyed by their advertised address
+	callsMu      sync.Mutex
+	calls        map[string]pendingCall
+	subsMu       sync.RWMutex
+	subs         map[string]*subscription
 }
 
-// ask is a question that waits for its reply.
-type ask struct {
+// pendingCall is a call that waits for its reply.
+type pendingCall struct {
 	to    netip.AddrPort
-	reply chan answer
+	reply chan result
 }
 
-type answer struct {
+type result struct {
 	payload []byte
 	err     error
 }
@@ -84,9 +84,9 @@
 		return nil, Error.Wrap(err)
 	}
 	t := &Transport{
-		name: name, address: conn.LocalAddr().(*net.UDPAddr).AddrPort(), tls: certificates, scope: scope, queue: queueLength,
+		name: name, address: conn.LocalAddr().(*net.UDPAddr).AddrPort(), tls: certificates, scope: scope, queueLength: defaultQueueLength,
 		quic:  &quic.Transport{Conn: conn},
-		lanes: map[netip.AddrPort]*lane{}, dialled: map[netip.AddrPort]*quic.Conn{}, asks: map[string]ask{},
+		links: map[netip.AddrPort]*link{}, inboundConns: map[netip.AddrPort]*quic.Conn{}, calls: map[string]pendingCall{},
 		subs: map[string]*subscription{},
 	}
 	t.ctx, t.stop = context.WithCancel(context.Background())
@@ -102,27 +102,27 @@
 	return &quic.Config{
 		HandshakeIdleTimeout: handshakeTimeout,
 		MaxIdleTimeout:       idleTimeout,
-		KeepAlivePeriod:      keepAlive,
+		KeepAlivePeriod:      keepAliveInterval,
 	}
 }
 
-// Address returns the address that others reach this transport by.
+// Address returns the address at which peers reach this transport.
 func (t *Transport) Address() netip.AddrPort { return t.address }
 
-// Advertise sets the address that is told to others, where what they send there
-// is forwarded to the listening one. It is called before the first message.
+// Advertise sets the address that is announced to peers, if it is forwarded to the
+// listening one. It must be called before the first message.
 func (t *Transport) Advertise(address netip.AddrPort) { t.address = address }
 
-// Queue sets how many frames may wait for one address. It is called before the
+// Queue sets how many frames may be queued per address. It must be called before the
 // first message.
-func (t *Transport) Queue(frames int) { t.queue = frames }
+func (t *Transport) Queue(frames int) { t.queueLength = frames }
 
-// Cut loses every message to an address for which lost returns true, as a cut
-// network does. It is a seam for tests.
+// Cut drops every message to an address for which lost returns true, to simulate a
+// network partition in tests.
 func (t *Transport) Cut(lost func(netip.AddrPort) bool) { t.cut.Store(&lost) }
 
-// Publish sends messages to the address in their metadata under To. It queues
-// and returns; an error says that a message was certainly not sent.
+// Publish queues messages for the address in their metadata under To and returns. An
+// error means that a message was definitely not sent.
 func (t *Transport) Publish(topic string, messages ...*message.Message) error {
 	for _, m := range messages {
 		to, err := netip.ParseAddrPort(m.Metadata.Get(To))
@@ -135,7 +135,7 @@
 		}
 		f := frame{
 			UUID: m.UUID, Topic: topic, ReplyTo: m.Metadata.Get(replyTo),
-			Address: t.address.String(), Payload: m.Payload, Packed: m.Metadata.Get(packed) != "",
+			Address: t.address.String(), Payload: m.Payload, Compressed: m.Metadata.Get(compressedKey) != "",
 		}
 		if err := t.push(to, f); err != nil {
 			return err
@@ -144,12 +144,12 @@
 	return nil
 }
 
-// Subscribe returns the messages that arrive on topic, until ctx ends.
+// Subscribe returns a channel of the messages that arrive on topic, until ctx ends.
 func (t *Transport) Subscribe(ctx context.Context, topic string) (<-chan *message.Message, error) {
 	t.subsMu.Lock()
 	defer t.subsMu.Unlock()
 	if _, taken := t.subs[topic]; taken {
-		return nil, Error.New("topic %q has a subscriber", topic)
+		return nil, Error.New("topic %q already has a subscriber", topic)
 	}
 	sub := &subscription{in: make(chan *message.Message), out: make(chan *message.Message)}
 	sub.ctx, sub.stop = context.WithCancel(ctx)
@@ -158,14 +158,14 @@
 	return sub.out, nil
 }
 
-// Ask sends payload and waits for the reply, at most until ctx ends.
-func (t *Transport) Ask(ctx context.Context, to netip.AddrPort, topic string, payload []byte) ([]byte, error) {
+// Call sends payload and waits for the reply or until ctx ends.
+func (t *Transport) Call(ctx context.Context, to netip.AddrPort, topic string, payload []byte) ([]byte, error) {
 	id := watermill.NewUUID()
-	reply := make(chan answer, 1)
-	t.asksMu.Lock()
-	t.asks[id] = ask{to: to, reply: reply}
-	t.asksMu.Unlock()
-	defer t.forget(id)
+	reply := make(chan result, 1)
+	t.callsMu.Lock()
+	t.calls[id] = pendingCall{to: to, reply: reply}
+	t.callsMu.Unlock()
+	defer t.removeCall(id)
 	m := encoded(payload).message(id, to.String())
 	if err := t.Publish(topic, m); err != nil {
 		return nil, err
@@ -180,112 +180,114 @@
 	}
 }
 
-// reply answers a message that came through Ask.
-func (t *Transport) reply(asked *message.Message, e Encoded) error {
-	m := e.message(watermill.NewUUID(), asked.Metadata.Get(Address))
-	m.Metadata.Set(replyTo, asked.UUID)
+// reply sends the reply to a message that was sent by Call.
+func (t *Transport) reply(request *message.Message, e Encoded) error {
+	m := e.message(watermill.NewUUID(), request.Metadata.Get(Address))
+	m.Metadata.Set(replyTo, request.UUID)
 	return t.Publish("reply", m)
 }
 
-// Busy says whether something that was sent to an address still waits for its link.
+// Busy reports whether a message to an address is still queued or being written.
 func (t *Transport) Busy(to netip.AddrPort) bool {
-	t.lanesMu.Lock()
-	l := t.lanes[to]
-	t.lanesMu.Unlock()
+	t.linksMu.Lock()
+	l := t.links[to]
+	t.linksMu.Unlock()
 	return l != nil && l.busy()
 }
 
-// Reconnect has what is sent from now on go over new connections. After a suspension
-// of the machine the others may have given up on the old ones, which this side takes
-// for sound until its own idle timeout of 6 s, since its timers stood still.
+// Reconnect makes all further messages use new connections. After the machine was
+// suspended, peers may have closed the old ones, while this side considers them alive
+// until its own idle timeout of 6 s, because its timers stood still.
 func (t *Transport) Reconnect() {
-	t.lanesMu.Lock()
-	defer t.lanesMu.Unlock()
-	clear(t.dialled)
-	for _, l := range t.lanes {
+	t.linksMu.Lock()
+	defer t.linksMu.Unlock()
+	clear(t.inboundConns)
+	for _, l := range t.links {
 		l.stale.Store(true)
 	}
 }
 
-// Close stops listening and drops what is queued.
+// Close stops listening and drops queued messages.
 func (t *Transport) Close() error {
 	t.stop()
 	_ = t.listen.Close()
-	t.group.Wait() // connections tell their peers that they close
+	t.group.Wait() // connections notify their peers when they close
 	_ = t.quic.Close()
 	return Error.Wrap(t.quic.Conn.Close())
 }
 
-func (t *Transport) forget(id string) {
-	t.asksMu.Lock()
-	defer t.asksMu.Unlock()
-	delete(t.asks, id)
+func (t *Transport) removeCall(id string) {
+	t.callsMu.Lock()
+	defer t.callsMu.Unlock()
+	delete(t.calls, id)
 }
 
-// fail ends every question to an address whose connection broke.
-func (t *Transport) fail(to netip.AddrPort, cause error) {
-	t.asksMu.Lock()
-	defer t.asksMu.Unlock()
-	for id, a := range t.asks {
+// failCalls fails all pending calls to an address whose connection was lost.
+func (t *Transport) failCalls(to netip.AddrPort, cause error) {
+	t.callsMu.Lock()
+	defer t.callsMu.Unlock()
+	for id, a := range t.calls {
 		if a.to == to {
-			a.reply <- answer{err: cause}
-			delete(t.asks, id)
+			a.reply <- result{err: cause}
+			delete(t.calls, id)
 		}
 	}
 }
 
-// push queues a frame at the lane to an address.
+// push queues a frame on the link to an address.
 func (t *Transport) push(to netip.AddrPort, f frame) error {
 	for {
-		if err := t.lane(to).push(f); !errors.Is(err, errLaneEnded) {
+		if err := t.link(to).push(f); !errors.Is(err, errLinkClosed) {
 			return err
 		}
 	}
 }
 
-func (t *Transport) lane(to netip.AddrPort) *lane {
-	t.lanesMu.Lock()
-	defer t.lanesMu.Unlock()
-	l, ok := t.lanes[to]
+// link returns the link to an address, and opens it if there is none.
+func (t *Transport) link(to netip.AddrPort) *link {
+	t.linksMu.Lock()
+	defer t.linksMu.Unlock()
+	l, ok := t.links[to]
 	if !ok {
-		l = newLane(t, to)
-		t.lanes[to] = l
+		l = newLink(t, to)
+		t.links[to] = l
 		t.group.Go(l.run)
 	}
 	return l
 }
 
-// inbound returns a connection that the peer at an address has dialled, or nil.
+// inbound returns the open connection that the peer at an address has dialled, or nil.
 func (t *Transport) inbound(from netip.AddrPort) *quic.Conn {
-	t.lanesMu.Lock()
-	defer t.lanesMu.Unlock()
-	conn := t.dialled[from]
+	t.linksMu.Lock()
+	defer t.linksMu.Unlock()
+	conn := t.inboundConns[from]
 	if conn != nil && conn.Context().Err() != nil {
-		delete(t.dialled, from)
+		delete(t.inboundConns, from)
 		return nil
 	}
 	return conn
 }
 
-func (t *Transport) forgetInbound(from netip.AddrPort) {
-	t.lanesMu.Lock()
-	defer t.lanesMu.Unlock()
-	delete(t.dialled, from)
+func (t *Transport) dropInbound(from netip.AddrPort) {
+	t.linksMu.Lock()
+	defer t.linksMu.Unlock()
+	delete(t.inboundConns, from)
 }
 
-// heard notes that a peer has sent something, and on which connection it may be answered:
-// one for both directions halves the connections of the fleet.
-func (t *Transport) heard(from netip.AddrPort, conn *quic.Conn) {
-	t.lanesMu.Lock()
-	before, l := t.dialled[from], t.lanes[from]
-	t.dialled[from] = conn
-	t.lanesMu.Unlock()
+// recordInbound records the connection on which a peer sent a frame, so that frames to it
+// use the same one. Using one connection for both directions halves their number in the
+// fleet.
+func (t *Transport) recordInbound(from netip.AddrPort, conn *quic.Conn) {
+	t.linksMu.Lock()
+	before, l := t.inboundConns[from], t.links[from]
+	t.inboundConns[from] = conn
+	t.linksMu.Unlock()
 	if l == nil {
 		return
 	}
 	l.used.Store(true)
 	if before != conn {
-		l.supersede(conn)
+		l.replaceConn(conn)
 	}
 }
 
@@ -295,37 +297,37 @@
 		if err != nil {
 			return
 		}
-		t.group.Go(func() { t.receive(conn) })
+		t.group.Go(func() { t.acceptStreams(conn) })
 	}
 }
 
-func (t *Transport) receive(conn *quic.Conn) {
-	// It ends with the connection or the transport; the peer is told of the
-	// latter and need not wait for its idle timeout.
+func (t *Transport) acceptStreams(conn *quic.Conn) {
+	// The loop ends with the connection or the transport. In the latter case the peer
+	// is notified, so that it does not have to wait for its idle timeout.
 	defer func() { _ = conn.CloseWithError(0, "closing") }()
 	name := certifiedName(conn)
 	for {
 		s, err := conn.AcceptUniStream(t.ctx)
 		if err != nil {
-			t.lost(conn)
+			t.removeInbound(conn)
 			return
 		}
-		t.group.Go(func() { t.drain(name, conn, s) })
+		t.group.Go(func() { t.readStream(name, conn, s) })
 	}
 }
 
-// lost forgets a connection that has ended.
-func (t *Transport) lost(conn *quic.Conn) {
-	t.lanesMu.Lock()
-	defer t.lanesMu.Unlock()
-	for from, other := range t.dialled {
+// removeInbound removes a connection that has ended.
+func (t *Transport) removeInbound(conn *quic.Conn) {
+	t.linksMu.Lock()
+	defer t.linksMu.Unlock()
+	for from, other := range t.inboundConns {
 		if other == conn {
-			delete(t.dialled, from)
+			delete(t.inboundConns, from)
 		}
 	}
 }
 
-func (t *Transport) drain(from string, conn *quic.Conn, s *quic.ReceiveStream) {
+func (t *Transport) readStream(from string, conn *quic.Conn, s *quic.ReceiveStream) {
 	address := netip.AddrPort{}
 	for {
 		f, err := readFrame(s)
@@ -333,10 +335,10 @@
 			return
 		}
 		if !address.IsValid() {
-			address, _ = netip.ParseAddrPort(f.Address) // of no use: then it is not answered here
+			address, _ = netip.ParseAddrPort(f.Address) // if invalid, the connection is not used for frames to the peer
 		}
 		if address.IsValid() {
-			t.heard(address, conn)
+			t.recordInbound(address, conn)
 		}
 		t.scope.Counter("peer_received_bytes").Inc(int64(len(f.Payload)))
 		t.deliver(from, f)
@@ -346,7 +348,7 @@
 func (t *Transport) deliver(from string, f frame) {
 	t.scope.Tagged(map[string]string{"topic": f.Topic}).Counter("peer_received").Inc(1)
 	if f.ReplyTo != "" {
-		t.settle(f)
+		t.deliverReply(f)
 		return
 	}
 	m := message.NewMessage(f.UUID, f.Payload)
@@ -364,16 +366,16 @@
 	}
 }
 
-func (t *Transport) settle(f frame) {
-	t.asksMu.Lock()
-	defer t.asksMu.Unlock()
-	a, ok := t.asks[f.ReplyTo]
+func (t *Transport) deliverReply(f frame) {
+	t.callsMu.Lock()
+	defer t.callsMu.Unlock()
+	a, ok := t.calls[f.ReplyTo]
 	if !ok {
 		t.scope.Counter("peer_late_reply").Inc(1)
 		return
 	}
-	a.reply <- answer{payload: f.Payload}
-	delete(t.asks, f.ReplyTo)
+	a.reply <- result{payload: f.Payload}
+	delete(t.calls, f.ReplyTo)
 }
 
 func certifiedName(conn *quic.Conn) string {
@@ -383,7 +385,7 @@
 	return ""
 }
 
-// certificate is the peer's, or nil.
+// certificate returns the peer's certificate, or nil.
 func certificate(conn *quic.Conn) *x509.Certificate {
 	if chain := conn.ConnectionState().TLS.PeerCertificates; len(chain) > 0 {
 		return chain[0]
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -20,7 +20,7 @@
 	"github.com/trailshed/trailshed/internal/standin/cert"
 )
 
-// node is a transport with its router.
+// node is a transport with a running router.
 type node struct {
 	*peer.Transport
 	router *message.Router
@@ -36,8 +36,8 @@
 	return c
 }
 
-// open starts a transport; register must add a handler, as a router without
-// any never runs.
+// open starts a transport. register must add a handler, because a router without any
+// never runs.
 func open(t testing.TB, name string, c *tls.Config, register func(*node)) *node {
 	return openIn(t, name, c, tally.NoopScope, register)
 }
@@ -76,13 +76,13 @@
 	return l.LocalAddr().String()
 }
 
-func silent(n *node) { peer.Handle(n.router, n.Transport, "silent", func(peer.Sender, note) {}) }
+func handleNothing(n *node) { peer.Handle(n.router, n.Transport, "silent", func(peer.Sender, note) {}) }
 
 type note struct {
 	Number int
 }
 
-// After Reconnect messages go over a new connection, in order, and none is lost.
+// After Reconnect, messages use a new connection, in order and without loss.
 func TestReconnect(t *testing.T) {
 	c := qt.New(t)
 	dir := t.TempDir()
@@ -105,8 +105,8 @@
 	c.Assert(scope.Snapshot().Counters()["peer_connections+"].Value(), qt.Equals, int64(2))
 }
 
-// What is long and alike is compressed on its way, and comes as it was sent, to each of
-// those to whom it is sent at once.
+// Long, repetitive messages are compressed, and arrive unchanged at each receiver of
+// SendAll.
 func TestLongMessages(t *testing.T) {
 	c := qt.New(t)
 	dir := t.TempDir()
@@ -140,8 +140,8 @@
 	c.Assert(sent < 3*40_000, qt.IsTrue, qt.Commentf("%d bytes for three messages of 46 kB", sent))
 }
 
-// Whoever is asked answers, and sends what it has itself, on the connection of who asked:
-// a planner that hundreds of instances ask has one connection with each.
+// A peer sends replies and its own messages on the connection that the caller dialled, so
+// that a planner has one connection with each of the hundreds of instances that call it.
 func TestOneConnectionForBothDirections(t *testing.T) {
 	c := qt.New(t)
 	dir := t.TempDir()
@@ -170,14 +170,14 @@
 	c.Assert(reply.Number, qt.Equals, 8)
 	c.Assert(scope.Snapshot().Counters()["peer_connections+"].Value(), qt.Equals, int64(1))
 
-	b.Reconnect() // what a had dialled may be dead
+	b.Reconnect() // the connection that a dialled may be dead
 	c.Assert(peer.Send(b.Transport, a.Address(), "note", note{2}), qt.IsNil)
 	c.Assert(<-heard, qt.Equals, 2)
 	c.Assert(scope.Snapshot().Counters()["peer_connections+"].Value(), qt.Equals, int64(2))
 }
 
-// A peer that starts again at its address is reached anew by those whom it had dialled.
-func TestPeerThatStartsAgain(t *testing.T) {
+// A peer that restarts at its address can be reached by the peers that it had dialled.
+func TestPeerRestart(t *testing.T) {
 	c := qt.New(t)
 	dir := t.TempDir()
 	authority, err := cert.NewAuthority(dir)
@@ -195,7 +195,7 @@
 	b.close()
 	b = openAt(t, "b", address, certificates(t, dir, "b", authority), tally.NoopScope, note2)
 	defer b.close()
-	for number := 2; ; number++ { // what is sent while it is away is lost
+	for number := 2; ; number++ { // messages on the old connection are lost
 		c.Assert(peer.Send(a.Transport, address, "note", note{number}), qt.IsNil)
 		select {
 		case <-heard:
@@ -223,7 +223,7 @@
 			return note{Number: 2 * v.Number}
 		})
 	})
-	client := open(t, "client", certificates(t, dir, "client", authority), silent)
+	client := open(t, "client", certificates(t, dir, "client", authority), handleNothing)
 	for i := range notes {
 		c.Assert(peer.Send(client.Transport, server.Address(), "note", note{Number: i}), qt.IsNil)
 	}
@@ -237,16 +237,15 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(reply.Number, qt.Equals, 42)
 
-	server.close() // a question to a process that is gone fails before its time is up
+	server.close() // a call to a stopped process fails before its deadline
 	_, err = peer.Ask[note, note](ctx, client.Transport, server.Address(), "double", note{Number: 1})
 	c.Assert(err, qt.IsNotNil)
 	c.Assert(ctx.Err(), qt.IsNil)
 	client.close()
 }
 
-// TestStrangers says that a process whose certificate another authority signed
-// reaches nobody.
-func TestStrangers(t *testing.T) {
+// A process whose certificate is signed by another authority cannot call any peer.
+func TestUnknownAuthority(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	c := qt.New(t)
 	ours, theirs := t.TempDir(), t.TempDir()
@@ -257,13 +256,13 @@
 	server := open(t, "server", certificates(t, ours, "server", a), func(n *node) {
 		peer.Answer(n.router, n.Transport, "double", func(context.Context, peer.Sender, note) note { return note{} })
 	})
-	stranger := open(t, "stranger", certificates(t, theirs, "stranger", b), silent)
+	foreign := open(t, "stranger", certificates(t, theirs, "stranger", b), handleNothing)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	_, err = peer.Ask[note, note](ctx, stranger.Transport, server.Address(), "double", note{})
+	_, err = peer.Ask[note, note](ctx, foreign.Transport, server.Address(), "double", note{})
 	c.Assert(err, qt.IsNotNil)
 	c.Assert(ctx.Err(), qt.IsNil)
-	stranger.close()
+	foreign.close()
 	server.close()
 }
 
@@ -278,8 +277,8 @@
 	tests := []struct{ name, ca, certificate, key, want string }{
 		{"missing", dir + "/none.pem", dir + "/n.pem", dir + "/n.key", ".*none.pem.*"},
 		{"no certificate inside", dir + "/n.key", dir + "/n.pem", dir + "/n.key", ".*no certificate in PEM form.*"},
-		{"key of another", dir + "/ca.pem", dir + "/n.pem", other + "/m.key", ".*n.pem with key.*m.key.*"},
-		{"signed by another", dir + "/ca.pem", other + "/m.pem", other + "/m.key", ".*m.pem.*unknown authority.*"},
+		{"key of another certificate", dir + "/ca.pem", dir + "/n.pem", other + "/m.key", ".*n.pem with key.*m.key.*"},
+		{"signed by another authority", dir + "/ca.pem", other + "/m.pem", other + "/m.key", ".*m.pem.*unknown authority.*"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/peer/typed.go
+++ b/internal/peer/typed.go
@@ -9,13 +9,13 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Encoded is a message that is encoded once for all who get it.
+// Encoded is a payload that is encoded once for all its receivers.
 type Encoded struct {
-	payload  []byte
-	isPacked bool
+	payload    []byte
+	compressed bool
 }
 
-// Encode encodes v as CBOR and compresses what is long.
+// Encode encodes v as CBOR and compresses it if it is long.
 func Encode(v any) (Encoded, error) {
 	payload, err := cbor.Marshal(v)
 	if err != nil {
@@ -24,18 +24,18 @@
 	return encoded(payload), nil
 }
 
-// encoded compresses a payload if it is long.
+// encoded wraps a payload, compressed if it is long.
 func encoded(payload []byte) (e Encoded) {
-	e.payload, e.isPacked = pack(payload)
+	e.payload, e.compressed = compress(payload)
 	return e
 }
 
-// message returns the message for one address. All messages share the payload.
+// message returns a message to one address. All messages share the payload.
 func (e Encoded) message(id, to string) *message.Message {
 	m := message.NewMessage(id, e.payload)
 	m.Metadata.Set(To, to)
-	if e.isPacked {
-		m.Metadata.Set(packed, "s2")
+	if e.compressed {
+		m.Metadata.Set(compressedKey, "s2")
 	}
 	return m
 }
@@ -49,8 +49,9 @@
 	return t.Publish(topic, e.message(watermill.NewUUID(), to.String()))
 }
 
-// SendAll publishes v to several addresses, encoded once. It returns to how many it was
-// not sent; what cannot be encoded is sent to none and counted as malformed.
+// SendAll publishes v to several addresses, encoded once. It returns the number of
+// addresses to which it was not sent. If v cannot be encoded, it is sent to none and
+// counted as malformed.
 func SendAll[T any](t *Transport, to []netip.AddrPort, topic string, v T) (unsent int) {
 	e, err := Encode(v)
 	if err != nil {
@@ -59,34 +60,34 @@
 	}
 	for _, address := range to {
 		if t.Publish(topic, e.message(watermill.NewUUID(), address.String())) != nil {
-			unsent++ // a full queue; the next message tells more
+			unsent++ // the queue is full; a later message brings the receiver up to date
 		}
 	}
 	return unsent
 }
 
-// Ask sends a question as CBOR and decodes the reply.
-func Ask[Q, A any](ctx context.Context, t *Transport, to netip.AddrPort, topic string, question Q) (A, error) {
+// Ask sends a request as CBOR and decodes the reply.
+func Ask[Q, A any](ctx context.Context, t *Transport, to netip.AddrPort, topic string, request Q) (A, error) {
 	var a A
-	payload, err := cbor.Marshal(question)
+	payload, err := cbor.Marshal(request)
 	if err != nil {
 		return a, Error.Wrap(err)
 	}
-	reply, err := t.Ask(ctx, to, topic, payload)
+	reply, err := t.Call(ctx, to, topic, payload)
 	if err != nil {
 		return a, err
 	}
 	return a, Error.Wrap(cbor.Unmarshal(reply, &a))
 }
 
-// Sender is who sent a message.
+// Sender identifies the process that sent a message.
 type Sender struct {
 	Name    string
 	Address netip.AddrPort
 }
 
-// Handle adds a handler of one-way messages. It must return quickly: the next
-// message of the same sender waits for it.
+// Handle adds a handler for one-way messages. It must return quickly, because it blocks
+// the sender's next message.
 func Handle[T any](r *message.Router, t *Transport, topic string, do func(Sender, T)) {
 	r.AddConsumerHandler(topic, topic, t, func(m *message.Message) error {
 		if v, ok := decode[T](t, m); ok {
@@ -96,14 +97,14 @@
 	})
 }
 
-// Answer adds a handler of questions. Each runs apart from the stream it came
-// on, so that a slow answer delays no other message.
+// Answer adds a handler for requests sent by Ask. Each runs in its own goroutine, so that
+// a slow one does not delay other messages.
 func Answer[Q, A any](r *message.Router, t *Transport, topic string, do func(context.Context, Sender, Q) A) {
 	AnswerEncoded(r, t, topic, func(ctx context.Context, s Sender, q Q) (Encoded, error) { return Encode(do(ctx, s, q)) })
 }
 
-// AnswerEncoded is Answer for answers that many askers get. One that cannot be encoded is
-// counted as malformed and not sent.
+// AnswerEncoded is Answer for replies that are shared by many callers and encoded once. If
+// do returns an error, the request is counted as malformed and gets no reply.
 func AnswerEncoded[Q any](r *message.Router, t *Transport, topic string, do func(context.Context, Sender, Q) (Encoded, error)) {
 	r.AddConsumerHandler(topic, topic, t, func(m *message.Message) error {
 		q, ok := decode[Q](t, m)
@@ -116,13 +117,14 @@
 				t.scope.Counter("peer_malformed").Inc(1)
 				return
 			}
-			_ = t.reply(m, e) // a lost reply is the asker's timeout
+			_ = t.reply(m, e) // if it is lost, the caller times out
 		})
 		return nil
 	})
 }
 
-// decode counts a malformed message; to take it again would not mend it.
+// decode decodes a message. A malformed one is counted but not redelivered, which would
+// not help.
 func decode[T any](t *Transport, m *message.Message) (v T, ok bool) {
 	if err := cbor.Unmarshal(m.Payload, &v); err != nil {
 		t.scope.Counter("peer_malformed").Inc(1)
