--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -14,14 +14,14 @@
 	"github.com/trailshed/trailshed/internal/query"
 )
 
-// Statement is the body of an operator's request.
+// Statement is the request body of an operator's statement.
 type Statement struct {
 	Text string `json:"statement"`
 	Who  string `json:"who"`
-	Base int64  `json:"base,omitempty"` // revision that a command was decided on
+	Base int64  `json:"base,omitempty"` // revision that a command is based on
 }
 
-// Failure is the body of an answer to a statement that failed.
+// Failure is the response body of a statement that failed.
 type Failure struct {
 	Error string `json:"error"`
 }
@@ -35,7 +35,7 @@
 	return r
 }
 
-// readyz is what the platform's balancer asks.
+// readyz serves the readiness checks of the platform's load balancer.
 func (n *Node) readyz(w http.ResponseWriter, _ *http.Request) {
 	switch {
 	case n.leaving.Load():
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -17,18 +17,20 @@
 const (
 	topicHeartbeat = "member.heartbeat"
 	topicPull      = "config.pull"
-	// contactInterval is how often an address of first contact is tried, so
-	// that zones that were cut off find each other again.
-	contactInterval = 3 * time.Second
-	instancesEvery  = 10 * time.Second
-	pullLimit       = 2 * time.Second
-	watchersPerZone = 2
-	// acquaintance is how long after its start a process may not know all others, which
-	// heartbeats tell of.
-	acquaintance = 5 * time.Second
+	// contactInterval is the interval at which a heartbeat is sent to one of the contact
+	// addresses, so that zones find each other again after a partition.
+	contactInterval   = 3 * time.Second
+	instancesInterval = 10 * time.Second
+	pullTimeout       = 2 * time.Second
+	watchersPerZone   = 2
+	// discoveryDelay is how long after its start a process may not know all others, which
+	// it learns of from heartbeats.
+	discoveryDelay = 5 * time.Second
 )
 
-func (n *Node) hear(_ peer.Sender, h member.Heartbeat) {
+// handleHeartbeat updates the member table, and pulls the configuration from a peer that
+// has a newer revision.
+func (n *Node) handleHeartbeat(_ peer.Sender, h member.Heartbeat) {
 	n.mu.Lock()
 	joined := n.table.Hear(n.now(), h)
 	n.mu.Unlock()
@@ -40,10 +42,10 @@
 	}
 }
 
-// pull fetches newer configuration from a peer.
+// pull fetches a newer configuration from a peer.
 func (n *Node) pull(from netip.AddrPort) {
 	defer n.pulling.Store(false)
-	ctx, cancel := context.WithTimeout(context.Background(), pullLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), pullTimeout)
 	defer cancel()
 	after := n.changes.Current().Revision
 	delta, err := peer.Ask[changelog.Pull, changelog.Delta](ctx, n.transport, from, topicPull, changelog.Pull{After: after})
@@ -52,36 +54,36 @@
 		return
 	}
 	if err := n.changes.TakeDelta(delta); err != nil {
-		n.log.Warn().Err(err).Msg("configuration from peer not taken")
+		n.log.Warn().Err(err).Msg("configuration from peer not applied")
 	}
 }
 
-func (n *Node) beatLoop(ctx context.Context) {
-	beats := time.NewTicker(n.settings.Peers.Heartbeat)
-	defer beats.Stop()
+func (n *Node) heartbeatLoop(ctx context.Context) {
+	heartbeats := time.NewTicker(n.settings.Peers.Heartbeat)
+	defer heartbeats.Stop()
 	contacts := time.NewTicker(contactInterval)
 	defer contacts.Stop()
-	instances := time.NewTicker(instancesEvery)
+	instances := time.NewTicker(instancesInterval)
 	defer instances.Stop()
-	known := n.knownAddresses(ctx)
+	known := n.contactAddresses(ctx)
 	n.contact(known, len(known))
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-beats.C:
+		case <-heartbeats.C:
 			n.expire()
-			n.beat()
+			n.sendHeartbeats()
 		case <-contacts.C:
 			n.contact(known, 1)
 		case <-instances.C:
-			known = n.knownAddresses(ctx)
+			known = n.contactAddresses(ctx)
 		}
 	}
 }
 
-// knownAddresses joins the seeds with the platform's lagging list.
-func (n *Node) knownAddresses(ctx context.Context) []netip.AddrPort {
+// contactAddresses returns the seeds and the instances in the platform's list, which lags.
+func (n *Node) contactAddresses(ctx context.Context) []netip.AddrPort {
 	known := n.settings.Peers.SeedAddresses()
 	list, err := n.store.Instances(ctx)
 	if err != nil {
@@ -104,30 +106,30 @@
 	}
 }
 
-// beat sends a heartbeat to a few random peers.
-func (n *Node) beat() {
-	h := n.nextBeat()
+// sendHeartbeats sends a heartbeat to a few random peers.
+func (n *Node) sendHeartbeats() {
+	h := n.nextHeartbeat()
 	n.mu.Lock()
 	targets := n.table.Targets(n.settings.Peers.Fanout)
 	n.mu.Unlock()
-	n.sendBeat(h, targets)
+	n.sendHeartbeat(h, targets)
 }
 
-func (n *Node) nextBeat() member.Heartbeat {
+func (n *Node) nextHeartbeat() member.Heartbeat {
 	own := n.dispatcher.Statuses()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.table.Beat(n.now(), n.changes.Current().Revision, own)
 }
 
-// contact sends a heartbeat to some addresses that may not be known members.
+// contact sends a heartbeat to count random addresses, which need not be known members.
 func (n *Node) contact(addresses []netip.AddrPort, count int) {
 	picked := slices.Clone(addresses)
 	rand.Shuffle(len(picked), func(i, j int) { picked[i], picked[j] = picked[j], picked[i] })
-	n.sendBeat(n.nextBeat(), picked[:min(count, len(picked))])
+	n.sendHeartbeat(n.nextHeartbeat(), picked[:min(count, len(picked))])
 }
 
-func (n *Node) sendBeat(h member.Heartbeat, targets []netip.AddrPort) {
+func (n *Node) sendHeartbeat(h member.Heartbeat, targets []netip.AddrPort) {
 	for _, to := range targets {
 		if to == n.transport.Address() {
 			continue
@@ -142,9 +144,9 @@
 	ticker.Every(ctx, reconcileInterval, n.dispatcher.Reconcile)
 }
 
-// dispatches says whether a cell is this process's to dispatch, which takes the
-// whole configuration: with a part of it, endpoints would be missing.
-func (n *Node) dispatches(name catalog.Cell) bool {
+// isDispatcher reports whether this process is the dispatcher of a cell. It is not before
+// it has the complete configuration, because endpoints would be missing.
+func (n *Node) isDispatcher(name catalog.Cell) bool {
 	if !n.changes.Loaded() {
 		return false
 	}
@@ -168,7 +170,8 @@
 	return m.Address, ok
 }
 
-func (n *Node) watches() bool {
+// isWatcher reports whether this process watches the platform for its zone.
+func (n *Node) isWatcher() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, m := range n.table.Watchers(watchersPerZone) {
@@ -179,9 +182,10 @@
 	return false
 }
 
-// processes is how many processes are known, and whether that has been all for a while.
+// processes returns the number of known processes. all reports whether this process has
+// run long enough to know all of them.
 func (n *Node) processes() (count int, all bool) {
-	return len(n.members()), n.now().Sub(n.began) >= acquaintance
+	return len(n.members()), n.now().Sub(n.started) >= discoveryDelay
 }
 
 func (n *Node) members() []member.Member {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node joins all parts of one trailshed process and runs them until it
-// is told to stop.
+// Package node assembles the parts of one trailshed process and runs them until it is
+// stopped.
 package node
 
 import (
@@ -45,19 +45,19 @@
 
 const reconcileInterval = 100 * time.Millisecond
 
-// leavingMemory is how long it is believed that an endpoint leaves once no answer says
-// so any more. It ends within that time; what starts anew at its address is another
-// process, which nothing here tells from it.
-const leavingMemory = 30 * time.Second
+// leavingTimeout is how long an endpoint counts as leaving after its last response that
+// said so. It ends within that time. The entry has to expire because a new process at
+// the same address cannot be distinguished from it here.
+const leavingTimeout = 30 * time.Second
 
-// Node is one process. Lock order: mu is taken last and never held while
-// another part is called.
+// Node is one trailshed process. mu is the last in the lock order: no call that takes
+// another part's lock is made while it is held.
 type Node struct {
 	settings *settings.Settings
 	log      zerolog.Logger
 	clock    *clock.Clock
 	now      func() clock.Millis // of clock
-	began    clock.Millis
+	started  clock.Millis
 	counters *counter.Registry
 
 	store      *platform.Store
@@ -77,7 +77,7 @@
 	pulling atomic.Bool
 }
 
-// New opens a node's listeners between processes; Run serves.
+// New creates a node and opens its listener for peers. Call Run to serve.
 func New(s *settings.Settings, log zerolog.Logger) (*Node, error) {
 	n := &Node{settings: s, log: log, clock: clock.Open(clock.Machine())}
 	n.now = n.clock.Now
@@ -99,30 +99,30 @@
 	return n, nil
 }
 
-// build makes the parts and joins them by function fields.
+// build creates the parts and connects them by function fields.
 func (n *Node) build() {
 	s, scope := n.settings, n.counters.Scope
-	n.began = n.now()
-	incarnation := int64(n.began)
+	n.started = n.now()
+	incarnation := int64(n.started)
 	self := member.Member{ID: s.Node.ID, Zone: s.Node.Zone, Address: n.transport.Address(), Incarnation: incarnation}
 	n.table = member.NewTable(self, s.Peers.GoneAfter, uint64(incarnation))
 	n.store = platform.Connect(s.Platform.AddrPort(), s.Platform.Timeout, scope)
 	n.changes = changelog.New(n.store, scope, n.log)
-	n.changes.Changed = n.changed
+	n.changes.Changed = n.configurationChanged
 	client := endpoint.NewClient()
-	notices := notice.NewTable[netip.AddrPort](leavingMemory)
+	notices := notice.NewTable[netip.AddrPort](leavingTimeout)
 	limits := ownpart.New(n.processes)
-	client.Heard = func(at netip.AddrPort, said notice.Notice, good bool, sent time.Time) {
-		limits.Heard(n.now(), at.String(), said.Limit, good, n.now().Add(-time.Since(sent)))
-		if notices.Take(n.now(), at, said) {
-			n.log.Info().Stringer("address", at).Bool("leaving", said.Leaving).Dur("rest", said.Rest).Msg("endpoint wants no requests")
+	client.Heard = func(at netip.AddrPort, given notice.Notice, good bool, sent time.Time) {
+		limits.Heard(n.now(), at.String(), given.Limit, good, n.now().Add(-time.Since(sent)))
+		if notices.Take(n.now(), at, given) {
+			n.log.Info().Stringer("address", at).Bool("leaving", given.Leaving).Dur("rest", given.Rest).Msg("endpoint accepts no requests for now")
 		}
 	}
 	n.dispatcher = dispatcher.New(dispatcher.Options{
-		Node: s.Node.ID, Zone: s.Node.Zone, Listing: s.Dispatch.Listing, Now: n.now, Mine: n.dispatches,
+		Node: s.Node.ID, Zone: s.Node.Zone, Listing: s.Dispatch.Listing, Now: n.now, Mine: n.isDispatcher,
 		Cell: cell.Options{
 			Policy: s.Dispatch.Policy, OwnerExpiry: s.Dispatch.OwnerExpiry, RetryShare: s.Dispatch.RetryShare,
-			Violated: n.violated,
+			Violated: n.invariantViolated,
 			Counted:  func(what string) { scope.Tagged(map[string]string{"what": what}).Counter("decisions").Inc(1) },
 		},
 	}, n.transport, client, scope, n.log)
@@ -150,17 +150,18 @@
 	n.ledger.Register(n.router)
 	n.suspects.Register(n.router)
 	n.desk.Register(n.router)
-	peer.Handle(n.router, n.transport, topicHeartbeat, n.hear)
+	peer.Handle(n.router, n.transport, topicHeartbeat, n.handleHeartbeat)
 	peer.Answer(n.router, n.transport, topicPull, func(_ context.Context, _ peer.Sender, p changelog.Pull) changelog.Delta {
 		return n.changes.Delta(p)
 	})
 }
 
-// Cut loses every message to a process at an address for which lost returns
-// true. It is a seam for tests.
+// Cut drops every message to an address for which lost returns true, to simulate a
+// network partition in tests.
 func (n *Node) Cut(lost func(netip.AddrPort) bool) { n.transport.Cut(lost) }
 
-// Run serves until ctx ends, then stops without cutting a request.
+// Run serves until ctx ends. Then it stops, after waiting for running requests until the
+// drain timeout.
 func (n *Node) Run(ctx context.Context) error {
 	serving, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -180,11 +181,11 @@
 	group.Go(func() { n.ledger.Run(serving) })
 	group.Go(func() { n.suspects.Run(serving) })
 	group.Go(func() { suspension.Watch(serving, n.clock, n.resume) })
-	group.Go(func() { n.followHeld(serving) })
-	group.Go(func() { n.beatLoop(serving) })
+	group.Go(func() { n.pollHeld(serving) })
+	group.Go(func() { n.heartbeatLoop(serving) })
 	group.Go(func() { n.reconcileLoop(serving) })
-	group.Go(func() { n.load(serving) })
-	group.Go(func() { n.changes.Watch(serving, n.settings.Platform.Watch, n.watches) })
+	group.Go(func() { n.loadConfiguration(serving) })
+	group.Go(func() { n.changes.Watch(serving, n.settings.Platform.Watch, n.isWatcher) })
 
 	front := &http.Server{Handler: n.front.Handler(), ReadHeaderTimeout: 5 * time.Second}
 	desk := &http.Server{Handler: n.adminHandler(), ReadHeaderTimeout: 5 * time.Second}
@@ -202,8 +203,8 @@
 	return Error.Wrap(n.counters.Close())
 }
 
-// resume makes connections anew once the machine was suspended. Attempts were given to
-// others meanwhile, which the entry sees by the clock, and ends its own.
+// resume replaces connections after the machine was suspended. Other processes have taken
+// over its attempts meanwhile. The entry detects this by the clock and ends its own.
 func (n *Node) resume(slept time.Duration) {
 	n.log.Info().Dur("slept", slept).Msg("machine was suspended")
 	if slept >= suspension.Long {
@@ -211,20 +212,21 @@
 	}
 }
 
-// leave hands the roles over and lets every running request finish.
+// leave announces that this process leaves, which hands over its roles, and waits for
+// running requests until the drain timeout.
 func (n *Node) leave(front *http.Server) {
 	n.log.Info().Msg("leaving")
 	n.leaving.Store(true)
 	n.mu.Lock()
 	n.table.Leave()
 	n.mu.Unlock()
-	n.beat()
+	n.sendHeartbeats()
 	n.dispatcher.Reconcile()
 	time.Sleep(n.settings.Callers.LeaveDelay)
 	ctx, cancel := context.WithTimeout(context.Background(), n.settings.Callers.DrainTimeout)
 	defer cancel()
 	if err := front.Shutdown(ctx); err != nil {
-		n.log.Warn().Int("attempts", n.entry.Attempts()).Msg("drain timeout passed with requests running")
+		n.log.Warn().Int("attempts", n.entry.Attempts()).Msg("drain timeout expired with requests running")
 	}
 }
 
@@ -239,9 +241,9 @@
 	}
 }
 
-// load reads the configuration at the start, from the platform or, in an
-// outage, from whichever peer is heard first.
-func (n *Node) load(ctx context.Context) {
+// loadConfiguration waits at the start until the configuration is loaded, from the
+// platform or, if that is unavailable, from the first peer that sends a heartbeat.
+func (n *Node) loadConfiguration(ctx context.Context) {
 	for ctx.Err() == nil && !n.changes.Loaded() {
 		if err := n.changes.CatchUp(ctx); err == nil {
 			n.log.Info().Int64("revision", n.changes.Current().Revision).Msg("configuration loaded")
@@ -251,12 +253,12 @@
 	}
 }
 
-func (n *Node) changed(c *catalog.Catalog) {
+func (n *Node) configurationChanged(c *catalog.Catalog) {
 	n.dispatcher.Configure(c)
-	go n.beat() // peers hear of the revision at once
+	go n.sendHeartbeats() // announces the revision to peers at once
 }
 
-func (n *Node) violated(what string) {
+func (n *Node) invariantViolated(what string) {
 	n.counters.Scope.Counter("invariants_violated").Inc(1)
 	n.log.Error().Str("what", what).Msg("invariant violated")
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -24,11 +24,11 @@
 	"github.com/trailshed/trailshed/internal/trace"
 )
 
-// patience bounds every wait of these tests; none asserts a time.
-const patience = 20 * time.Second
+// waitTimeout bounds every wait of these tests. None of them asserts a duration.
+const waitTimeout = 20 * time.Second
 
-// open starts a site of two zones: each with a node, a prefill and a decode
-// endpoint and a plain service. The zones' nodes are at index 0 and 1.
+// open starts a site of two zones, each with a node, a prefill and a decode endpoint and a
+// plain service. The zones' nodes are at index 0 and 1.
 func open(t testing.TB) *site.Site {
 	s, err := site.Open(t.TempDir())
 	qt.Assert(t, err, qt.IsNil)
@@ -38,7 +38,7 @@
 		qt.Assert(t, err, qt.IsNil)
 	}
 	statements := []string{
-		"create class gold rank = 0, ttft = 10s, tbt = 1s", // far, so that no verdict hangs on the machine's speed
+		"create class gold rank = 0, ttft = 10s, tbt = 1s", // long, so that no decision depends on the machine's speed
 		"create workspace w class = gold, key = key-w",
 		"create workspace v class = gold, key = key-v",
 		"create kind chat serves = llm",
@@ -63,7 +63,7 @@
 		_, err := do(s.Nodes[0], text)
 		qt.Assert(t, err, qt.IsNil)
 	}
-	until(t, "every endpoint is heard", func() bool {
+	until(t, "every endpoint has reported", func() bool {
 		load, err := do(s.Nodes[1], "show load where state = open")
 		return err == nil && len(load.Rows) == 6
 	})
@@ -79,12 +79,12 @@
 	return s
 }
 
-// until polls, as nothing tells when a fact has reached every process.
+// until polls, because there is no event for a change having reached every process.
 func until(t testing.TB, what string, holds func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(patience); !holds(); time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); !holds(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("in vain: %s", what)
+			t.Fatalf("condition not met in time: %s", what)
 		}
 	}
 }
@@ -112,15 +112,15 @@
 	path, key, kind, once, body string
 }
 
-// answer is what the caller got.
-type answer struct {
+// response holds the parts of the caller's response that tests check.
+type response struct {
 	status int
 	body   string
 	retry  string
 	id     string
 }
 
-func (c call) send(ctx context.Context, n *site.Node) (answer, error) {
+func (c call) send(ctx context.Context, n *site.Node) (response, error) {
 	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+n.Callers+c.path, strings.NewReader(c.body))
 	req.Header.Set("Authorization", "Bearer "+c.key)
 	req.Header.Set("Trailshed-Kind", c.kind)
@@ -129,15 +129,15 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	return answer{resp.StatusCode, string(body), resp.Header.Get("Retry-After"), resp.Header.Get("Trailshed-Request")}, err
+	return response{resp.StatusCode, string(body), resp.Header.Get("Retry-After"), resp.Header.Get("Trailshed-Request")}, err
 }
 
-func completion(prompt string, most int, stream bool) call {
-	body := fmt.Sprintf(`{"model":"llm","prompt":%q,"max_tokens":%d,"stream":%t}`, prompt, most, stream)
+func completion(prompt string, maxTokens int, stream bool) call {
+	body := fmt.Sprintf(`{"model":"llm","prompt":%q,"max_tokens":%d,"stream":%t}`, prompt, maxTokens, stream)
 	return call{path: "/v1/completions", key: "key-w", kind: "chat", body: body}
 }
 
@@ -208,18 +208,17 @@
 		path: "/v1/chat/completions", key: "key-w", kind: "chat",
 		body: `{"model":"llm","messages":[{"role":"user","content":"hi [out=3]"}]}`,
 	}
-	talked, err := chat.send(context.Background(), s.Nodes[0])
+	chatted, err := chat.send(context.Background(), s.Nodes[0])
 	c.Assert(err, qt.IsNil)
-	c.Assert(talked.body, qt.Contains, strings.Join(engine.Answer("user: hi [out=3]\n", 3), ""))
-	c.Assert(talked.body, qt.Contains, `"role":"assistant"`)
+	c.Assert(chatted.body, qt.Contains, strings.Join(engine.Answer("user: hi [out=3]\n", 3), ""))
+	c.Assert(chatted.body, qt.Contains, `"role":"assistant"`)
 
 	why, err := do(s.Nodes[1], "explain "+whole.id)
 	c.Assert(err, qt.IsNil)
 	c.Assert(len(why.Rows) >= 3, qt.IsTrue)
 }
 
-// TestFaultyEndpoints breaks the endpoints' answers; the caller still gets the
-// whole of its own, or is told that it is not whole.
+// Faults in endpoints' responses: the caller still gets its complete response.
 func TestFaultyEndpoints(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -250,7 +249,7 @@
 	}
 }
 
-// TestCallerGone lets callers hang up at any time; the engines are freed.
+// Callers disconnect at any time. The engines hold nothing for them afterwards.
 func TestCallerGone(t *testing.T) {
 	s := open(t)
 	var group sync.WaitGroup
@@ -269,8 +268,8 @@
 	})
 }
 
-// TestAtMostOnce sends a confirmation with the same key to both zones at once,
-// again and again, also while the platform loses answers.
+// Confirmations with the same key, sent repeatedly to both zones at once while the platform
+// loses responses, run once.
 func TestAtMostOnce(t *testing.T) {
 	c := qt.New(t)
 	s := open(t)
@@ -312,8 +311,7 @@
 	c.Assert(differs.status, qt.Equals, 422)
 }
 
-// TestClaimsOutliveEveryNode stops all nodes and starts others: a confirmation
-// that ran does not run again.
+// A confirmation that ran does not run again after all nodes were replaced.
 func TestClaimsOutliveEveryNode(t *testing.T) {
 	c := qt.New(t)
 	s := open(t)
@@ -326,8 +324,8 @@
 	}
 	fresh, err := s.AddNode("fresh", "b", nil)
 	c.Assert(err, qt.IsNil)
-	var again answer
-	until(t, "the new node answers for itself", func() bool {
+	var again response
+	until(t, "the new node handles the request", func() bool {
 		again, err = confirm.send(context.Background(), fresh)
 		return err == nil && again.status != 503
 	})
@@ -336,8 +334,8 @@
 	c.Assert(len(s.Engines["a-service"].Runs())+len(s.Engines["b-service"].Runs()), qt.Equals, 1)
 }
 
-// TestRefusedKeyIsFree says that a request which was claimed but then reached no
-// endpoint is refused as not run, and that its key may be used again.
+// A request that was claimed but reached no endpoint is refused as not run, and its key
+// can be used again.
 func TestRefusedKeyIsFree(t *testing.T) {
 	c := qt.New(t)
 	s := open(t)
@@ -351,8 +349,8 @@
 	s.AddEngine("replaced", engine.Traits{Role: engine.Service})
 	_, err = do(s.Nodes[0], "set endpoint a-service address = "+s.Address("replaced"))
 	c.Assert(err, qt.IsNil)
-	var again answer
-	until(t, "it is served or refused for good", func() bool {
+	var again response
+	until(t, "it is served or permanently refused", func() bool {
 		again, err = confirm.send(context.Background(), s.Nodes[0])
 		return err == nil && again.status != 503
 	})
@@ -360,8 +358,8 @@
 	c.Assert(s.Engines["replaced"].Runs(), qt.HasLen, 1)
 }
 
-// TestPlatformOutage says that repeatable work goes on, that work which may not
-// be repeated is refused as not run, and that it runs when the platform is back.
+// During a platform outage repeatable work is served, and work that must not be repeated is
+// refused as not run. It runs once the platform is available again.
 func TestPlatformOutage(t *testing.T) {
 	c := qt.New(t)
 	s := open(t)
@@ -380,7 +378,7 @@
 	_, err = do(s.Nodes[0], "create zone z")
 	c.Assert(err, qt.ErrorMatches, "(?s)503.*unavailable.*")
 
-	late, err := s.AddNode("late", "a", nil) // takes the configuration from a peer
+	late, err := s.AddNode("late", "a", nil) // gets the configuration from a peer
 	c.Assert(err, qt.IsNil)
 	until(t, "the late node is ready", func() bool {
 		a, err := completion("and here?", 5, false).send(ctx, late)
@@ -394,8 +392,8 @@
 	c.Assert(len(s.Engines["a-service"].Runs())+len(s.Engines["b-service"].Runs()), qt.Equals, 1)
 }
 
-// TestFirstContact says that a node without seeds finds the others by the
-// platform's list, whose leaving instances it passes over.
+// A node without seeds finds the others in the platform's list, of which it skips leaving
+// instances.
 func TestFirstContact(t *testing.T) {
 	c := qt.New(t)
 	s := open(t)
@@ -412,13 +410,13 @@
 	})
 }
 
-// TestZoneCut cuts one zone off from the other and both from the platform. Each
-// serves with its own endpoints, and when the cut heals a command given in one
-// is in force in the other.
+// The zones are partitioned from each other and from the platform. Each serves with its own
+// endpoints, and after the partition heals a command issued in one zone takes effect in the
+// other.
 func TestZoneCut(t *testing.T) {
 	c := qt.New(t)
 	s := open(t)
-	alone := func(n *site.Node, others int) func() bool {
+	knows := func(n *site.Node, others int) func() bool {
 		return func() bool {
 			members, err := do(n, "show members")
 			return err == nil && len(members.Rows) == 1+others
@@ -427,7 +425,7 @@
 	s.Cut(s.Nodes[1])
 	s.Platform.SetFaults(platform.Faults{Outage: true})
 	for i, n := range s.Nodes {
-		until(t, "the zones have lost each other", alone(n, 0))
+		until(t, "the zones have lost each other", knows(n, 0))
 		for _, stream := range []bool{false, true} {
 			a, err := completion("alone", 5, stream).send(context.Background(), n)
 			c.Assert(err, qt.IsNil)
@@ -439,11 +437,11 @@
 	s.Cut()
 	s.Platform.SetFaults(platform.Faults{})
 	for _, n := range s.Nodes {
-		until(t, "the zones have found each other", alone(n, 1))
+		until(t, "the zones have found each other", knows(n, 1))
 	}
 	_, err := do(s.Nodes[0], "drain endpoint b-decode")
 	c.Assert(err, qt.IsNil)
-	until(t, "the command is in force in the other zone", func() bool {
+	until(t, "the command has taken effect in the other zone", func() bool {
 		load, err := do(s.Nodes[1], "show load where state = draining")
 		return err == nil && len(load.Rows) == 1
 	})
@@ -455,7 +453,7 @@
 	c.Assert(s.Engines["b-decode"].Runs(), qt.HasLen, before)
 }
 
-// TestPlannedStop replaces every node under load; no request is cut.
+// A node stops under load without interrupting a request, and another one takes over.
 func TestPlannedStop(t *testing.T) {
 	c := qt.New(t)
 	s := open(t)
@@ -475,7 +473,7 @@
 			c.Check(strings.HasSuffix(a.body, "data: [DONE]\n\n"), qt.IsTrue)
 		})
 	}
-	time.Sleep(50 * time.Millisecond) // some wait, some run
+	time.Sleep(50 * time.Millisecond) // some requests wait, some run
 	s.Nodes[0].Leave()
 	group.Wait()
 	s.Nodes[0].Stop()
@@ -485,14 +483,13 @@
 	until(t, "nothing is held", func() bool { return held(s) == 0 })
 }
 
-// TestDrainEverywhere says that a drained endpoint gets nothing new from any
-// node, and that its zone is served by the other one.
+// A drained endpoint gets no new requests from any node, and the other zone serves its zone.
 func TestDrainEverywhere(t *testing.T) {
 	c := qt.New(t)
 	s := open(t)
 	_, err := do(s.Nodes[1], "drain endpoint a-decode")
 	c.Assert(err, qt.IsNil)
-	until(t, "every node has it in force", func() bool {
+	until(t, "the other node has applied it", func() bool {
 		members, err := do(s.Nodes[0], "show load where state = draining")
 		return err == nil && len(members.Rows) == 1
 	})
@@ -509,7 +506,7 @@
 	c.Assert(last[2:], qt.DeepEquals, []string{"test", "set", "endpoint", "a-decode", "state=serving", "state=draining"})
 }
 
-// TestReplay replays a small trace and checks every answer.
+// Replays a small trace and checks every response.
 func TestReplay(t *testing.T) {
 	c := qt.New(t)
 	s := open(t)
--- a/internal/node/notices_test.go
+++ b/internal/node/notices_test.go
@@ -15,68 +15,67 @@
 	"github.com/trailshed/trailshed/internal/standin/site"
 )
 
-// The same as at the gateway, where it was seen first: what an endpoint says of itself
-// in an answer, that it leaves, wants no work for a while or takes so much a second, was
-// not heard, and work went to it as before.
-
-// How much work a second an endpoint takes from all processes together binds each to its
-// part of that, and callers are served by other endpoints.
-func TestEndpointsThatNameALimit(t *testing.T) {
+// An endpoint that announces a rate limit in its responses gets no more than that from all
+// processes together, and other endpoints serve the callers. Guards, like the test below,
+// against notices in responses (leaving, backoff, rate limit) that were ignored, so that
+// work was sent to the endpoint as before. The gateway had the same fault first.
+func TestEndpointsWithRateLimit(t *testing.T) {
 	const (
 		rate    = 3.0
-		begins  = 3 * time.Second // after it was first named
+		begins  = 3 * time.Second // after it was first announced
 		window  = 4 * time.Second
 		allowed = 1.5*rate*4 + 5
 	)
 	for _, role := range []engine.Role{engine.Service, engine.Prefill, engine.Decode} {
 		t.Run(string(role), func(t *testing.T) {
-			t.Parallel() // it mostly waits
+			t.Parallel() // mostly waiting
 			c := qt.New(t)
-			s, speaker := speakers(t, role)
-			until(t, "the speaker is asked", func() bool { ask(t, s, role); return speaker.Asked() > 0 })
-			speaker.SetFaults(engine.Faults{Limit: rate})
-			asked, answered := 0, 0
-			askFor := func(length time.Duration) {
+			s, target := openPair(t, role)
+			until(t, "the target gets a request", func() bool { sendRequests(t, s, role); return target.Asked() > 0 })
+			target.SetFaults(engine.Faults{Limit: rate})
+			sent, answered := 0, 0
+			sendFor := func(length time.Duration) {
 				for end := time.Now().Add(length); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-					asked += 4
-					answered += ask(t, s, role)
+					sent += 4
+					answered += sendRequests(t, s, role)
 				}
 			}
-			askFor(begins)
-			before := speaker.Asked()
-			askFor(window)
-			got := speaker.Asked() - before
+			sendFor(begins)
+			before := target.Asked()
+			sendFor(window)
+			got := target.Asked() - before
 			c.Check(float64(got) <= allowed, qt.IsTrue, qt.Commentf("%d of %g", got, allowed))
-			c.Check(answered, qt.Equals, asked)
+			c.Check(answered, qt.Equals, sent)
 		})
 	}
 }
 
-// speakers is a site whose zone a has two endpoints of a role.
-func speakers(t *testing.T, role engine.Role) (s *site.Site, speaker *engine.Engine) {
+// openPair opens a site whose zone a has two endpoints of a role, and returns one of them.
+func openPair(t *testing.T, role engine.Role) (s *site.Site, target *engine.Engine) {
 	s = open(t)
 	pool := "a-" + string(role)
 	s.AddEngine("a-more", engine.Traits{Role: role})
 	_, err := do(s.Nodes[0], fmt.Sprintf("create endpoint a-more pool = %s, address = %s", pool, s.Address("a-more")))
 	qt.Assert(t, err, qt.IsNil)
-	until(t, "every endpoint is heard", func() bool {
+	until(t, "every endpoint has reported", func() bool {
 		load, err := do(s.Nodes[0], "show load where state = open")
 		return err == nil && len(load.Rows) == 7
 	})
 	return s, s.Engines[pool]
 }
 
-// prompts counts the prompts that were sent.
+// prompts counts the prompts sent.
 var prompts atomic.Int64
 
-// ask sends what the role serves, some at a time, and returns how many were answered.
-func ask(t *testing.T, s *site.Site, role engine.Role) (answered int) {
-	const together = 4
+// sendRequests sends a few concurrent requests of the kind that the role serves, and returns
+// how many succeeded.
+func sendRequests(t *testing.T, s *site.Site, role engine.Role) (answered int) {
+	const concurrent = 4
 	var group sync.WaitGroup
-	statuses := make([]int, together)
-	for i := range together {
+	statuses := make([]int, concurrent)
+	for i := range concurrent {
 		group.Go(func() {
-			// Prompts differ, since one that was read is sent where it is cached.
+			// Prompts differ, because a repeated one is sent where it is cached.
 			c := completion(strings.Repeat(fmt.Sprintf("%s %d ", t.Name(), prompts.Add(1)), 50), 4, false)
 			c.key, c.kind = "key-w", "chat"
 			if role == engine.Service {
@@ -96,34 +95,34 @@
 	return answered
 }
 
-func TestEndpointsThatSayWhatTheyWant(t *testing.T) {
+func TestEndpointNotices(t *testing.T) {
 	faults := []struct {
 		name   string
 		faults engine.Faults
 	}{
-		{"it leaves", engine.Faults{Leaving: true}},
-		{"it wants no work", engine.Faults{Rest: 60}}, // longer than a test
+		{"leaving", engine.Faults{Leaving: true}},
+		{"backoff", engine.Faults{Rest: 60}}, // longer than a test
 	}
 	for _, role := range []engine.Role{engine.Service, engine.Prefill, engine.Decode} {
 		for _, test := range faults {
 			t.Run(string(role)+", "+test.name, func(t *testing.T) {
 				c := qt.New(t)
-				s, speaker := speakers(t, role)
-				until(t, "the speaker is asked", func() bool { ask(t, s, role); return speaker.Asked() > 0 })
-				speaker.SetFaults(test.faults)
-				before := speaker.Asked()
-				// It may be heard in a report first, and is asked for nothing then.
+				s, target := openPair(t, role)
+				until(t, "the target gets a request", func() bool { sendRequests(t, s, role); return target.Asked() > 0 })
+				target.SetFaults(test.faults)
+				before := target.Asked()
+				// The notice may arrive in a report first, and then no request is sent.
 				for range 25 {
-					if ask(t, s, role); speaker.Asked() > before {
+					if sendRequests(t, s, role); target.Asked() > before {
 						break
 					}
 				}
-				before = speaker.Asked()
+				before = target.Asked()
 				answered := 0
 				for range 6 {
-					answered += ask(t, s, role)
+					answered += sendRequests(t, s, role)
 				}
-				c.Check(speaker.Asked()-before, qt.Equals, 0)
+				c.Check(target.Asked()-before, qt.Equals, 0)
 				c.Check(answered, qt.Equals, 24)
 			})
 		}
--- a/internal/node/suspects.go
+++ b/internal/node/suspects.go
@@ -14,30 +14,30 @@
 )
 
 const (
-	// heldPrefix holds a record for each request that ends endpoints, under its
-	// fingerprint, as CBOR.
+	// heldPrefix is the prefix of the store's keys for held requests. Each record is
+	// stored under its fingerprint, as CBOR.
 	heldPrefix = "held/"
-	// heldEvery is how often those who watch the platform read the records; a process
-	// that starts does at once. Between them processes tell each other.
-	heldEvery = 2 * time.Second
-	// heldPage bounds one reading.
-	heldPage = 200
+	// heldInterval is the interval at which the platform's watchers read the records. A
+	// starting process reads them at once. In between, processes inform each other.
+	heldInterval = 2 * time.Second
+	// heldPageSize is the maximum number of records in one read.
+	heldPageSize = 200
 )
 
-// openSuspects prepares the memory of requests that end endpoints.
+// openSuspects creates the records of requests that end endpoints.
 func (n *Node) openSuspects() {
 	n.suspects = suspects.New(suspects.Options{
 		Name: n.settings.Node.ID, Zone: n.settings.Node.Zone, Transport: n.transport, Scope: n.counters.Scope, Now: n.now,
 		Store: suspects.Store{Save: n.saveHeld, Remove: n.removeHeld, Read: n.readHeld},
-		Peers: n.suspectsPeers, Watching: n.watches,
+		Peers: n.suspectPeers, Watching: n.isWatcher,
 		Held: func(r quarantine.Record) {
-			n.log.Info().Stringer("work", r.Work).Bool("held", r.Held()).Int("ended", len(r.Ended)).Msg("request that ends endpoints")
+			n.log.Info().Stringer("work", r.Work).Bool("held", r.Held()).Int("ended", len(r.Ended)).Msg("request held or released")
 		},
-		Unreadable: func(err error, _ int64) { n.log.Warn().Err(err).Msg("record of a request cannot be read") },
+		Unreadable: func(err error, _ int64) { n.log.Warn().Err(err).Msg("cannot read the record of a held request") },
 	})
 }
 
-func (n *Node) suspectsPeers() []suspects.Peer {
+func (n *Node) suspectPeers() []suspects.Peer {
 	var list []suspects.Peer
 	for _, m := range n.members() {
 		list = append(list, suspects.Peer{Name: m.ID, Zone: m.Zone, Address: m.Address})
@@ -45,13 +45,14 @@
 	return list
 }
 
-// followHeld reads the records until ctx ends.
-func (n *Node) followHeld(ctx context.Context) {
+// pollHeld reads the stored records at the start and, on a watcher, at every interval
+// until ctx ends.
+func (n *Node) pollHeld(ctx context.Context) {
 	for !n.listHeld(ctx) && ctx.Err() == nil {
-		ticker.Sleep(ctx, heldEvery)
+		ticker.Sleep(ctx, heldInterval)
 	}
-	ticker.Every(ctx, heldEvery, func() {
-		if n.watches() {
+	ticker.Every(ctx, heldInterval, func() {
+		if n.isWatcher() {
 			n.listHeld(ctx)
 		}
 	})
@@ -61,7 +62,7 @@
 	var news suspects.News
 	after := ""
 	for {
-		page, err := n.store.List(ctx, heldPrefix, after, heldPage)
+		page, err := n.store.List(ctx, heldPrefix, after, heldPageSize)
 		if err != nil {
 			n.counters.Scope.Counter("held_unread").Inc(1)
 			return false
@@ -74,7 +75,7 @@
 			}
 			news.Records = append(news.Records, stored)
 		}
-		if len(page) < heldPage {
+		if len(page) < heldPageSize {
 			n.suspects.TakeStored(news)
 			return true
 		}
