--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,5 @@
-// Package gateway joins the parts of one process that routes requests on a
-// platform: listeners, the feed from the store, forwarding, and stopping.
+// Package gateway assembles the parts of one process that routes requests on a platform:
+// listeners, the feed from the store, forwarding and shutdown.
 package gateway
 
 import (
@@ -40,55 +40,58 @@
 // Error marks every error of this package.
 var Error = errs.Class("gateway")
 
-// Platform is how a gateway meets the platform it runs on.
+// Platform adapts a gateway to the platform on which it runs.
 type Platform struct {
 	Dialect  forward.Dialect
 	Source   feed.Source
 	Registry roster.Registry
-	// Duty makes one instance give orders, which Order sends.
+	// Duty selects the one instance that gives orders to engines. Order sends an order.
 	Duty  leadership.Registry
-	Order func(ctx context.Context, o staging.Order, holder string, fence int64, told func(notice.Notice)) error
-	// Load asks an engine what it works on. Both tell what the engine says of itself.
-	Load      func(ctx context.Context, e directory.Endpoint, told func(notice.Notice)) (placement.Loaded, error)
+	Order func(ctx context.Context, o staging.Order, holder string, fence int64, notify func(notice.Notice)) error
+	// Load requests an engine's load. Load and Order both pass the notices in the
+	// engine's response to notify.
+	Load      func(ctx context.Context, e directory.Endpoint, notify func(notice.Notice)) (placement.Loaded, error)
 	Suspects  suspects.Store
 	ReadyPath string
 	Clocks    clock.Source // of the machine
 }
 
 const (
-	// peerQueue is how many messages may wait for one peer: a second's at the
-	// peak, in a zone of twenty instances.
-	peerQueue = 256
-	// strangerPart of the time within which changes must be in force is how long
-	// an unknown certificate waits to be told of by the relay, which takes a few
-	// hundred ms, before the store is asked.
-	strangerPart = 0.5
-	// strangerYoung is the same in a process that is younger than youngFor: where a
-	// whole fleet has started, nobody that it knows has the certificate that it
-	// knows, and so nobody can tell it of the new ones.
-	strangerYoung = 300 * time.Millisecond
-	youngFor      = 4 * time.Second
-	// sweepInterval is how often idle connections and old beliefs are looked at.
+	// peerQueueLength is the maximum number of messages queued for one peer: those of one
+	// second at peak load, in a zone of twenty instances.
+	peerQueueLength = 256
+	// unknownCertFraction is the fraction of the freshness bound for which an unknown
+	// certificate may wait for an announcement by the relay, which takes a few hundred
+	// ms, before the store is read.
+	unknownCertFraction = 0.5
+	// startupCertDelay is used instead in a process that started less than startupPeriod
+	// ago. After a start of the whole fleet the certificates that it knows belong to
+	// former processes, so that no peer can announce the new ones to it.
+	startupCertDelay = 300 * time.Millisecond
+	startupPeriod    = 4 * time.Second
+	// sweepInterval is the interval at which idle connections and expired state are
+	// removed and gauges updated.
 	sweepInterval = 250 * time.Millisecond
-	// bodyPart of the memory limit may hold callers' bodies.
-	bodyPart = 0.25
-	// heapPart of the memory limit is the heap that the collector aims below.
-	heapPart = 0.7
-	// collectAt is the growth in percent at which the collector runs: memory
-	// costs more than the processor time here.
-	collectAt = 60
-	// headerBytes bounds a request's head before a configuration says so.
-	headerBytes = 64 << 10
-	// headerTimeout does the same for the time that a head may take.
+	// bodyMemoryFraction is the fraction of the memory limit that callers' bodies may use.
+	bodyMemoryFraction = 0.25
+	// heapFraction is the fraction of the memory limit below which the garbage collector
+	// tries to keep the heap.
+	heapFraction = 0.7
+	// gcPercent is the heap growth in percent at which the garbage collector runs. Here
+	// memory is more expensive than processor time.
+	gcPercent = 60
+	// maxHeaderBytes bounds the size of a request's header until a configuration is known.
+	maxHeaderBytes = 64 << 10
+	// headerTimeout likewise bounds the time to read a request's header.
 	headerTimeout = 5 * time.Second
-	// idleTimeout is how long a caller's connection may rest. Callers use one
-	// again only after less than the operators' limit, which is far below.
+	// idleTimeout is how long a caller's connection may stay idle. It is far above the
+	// operators' limit, within which callers reuse a connection.
 	idleTimeout = 75 * time.Second
 )
 
-// Gateway is one process.
+// Gateway is one gateway process.
 type Gateway struct {
-	mu       sync.Mutex // guards what Reload changes in settings
+	mu       sync.Mutex // guards the settings that Reload changes
 	settings *Settings
 	platform Platform
 	log      *eventlog.Log
@@ -96,46 +99,46 @@
 	clock    *clock.Clock
 	now      func() clock.Millis // of clock
 
-	paces     *pace.Model
-	directory *directory.Directory
-	balancer  *balance.Balancer
-	pool      *uplink.Pool
-	forwarder *forward.Forwarder
-	feed      *feed.Feed
-	roster    *roster.Roster
-	member    *roster.Member
-	self      roster.Instance
-	transport *peer.Transport
-	broker    *broker.Broker
-	relay     *relay.Relay
-	meter     *metering.Meter
-	suspects  *suspects.Suspects
-	throttle  *throttle.Throttle
-	duty      *leadership.Leadership
-	staging   *staging.Runner
-	servers   []*http.Server
-	listeners []net.Listener // of the servers
-	stranger  atomic.Bool    // an unknown certificate waits to be told of
-	began     clock.Millis
-	leaving   atomic.Bool
-	close     func() error
+	paces            *pace.Model
+	directory        *directory.Directory
+	balancer         *balance.Balancer
+	pool             *uplink.Pool
+	forwarder        *forward.Forwarder
+	feed             *feed.Feed
+	roster           *roster.Roster
+	member           *roster.Member
+	self             roster.Instance
+	transport        *peer.Transport
+	broker           *broker.Broker
+	relay            *relay.Relay
+	meter            *metering.Meter
+	suspects         *suspects.Suspects
+	throttle         *throttle.Throttle
+	duty             *leadership.Leadership
+	staging          *staging.Runner
+	servers          []*http.Server
+	listeners        []net.Listener // of the servers
+	certCheckPending atomic.Bool    // a check of an unknown certificate is pending
+	started          clock.Millis
+	leaving          atomic.Bool
+	close            func() error
 }
 
-// New returns a gateway that does not serve yet.
+// New creates a gateway and opens its listeners. Call Run to serve.
 func New(s *Settings, counters *counter.Registry, p Platform, log *eventlog.Log) (*Gateway, error) {
-	debug.SetMemoryLimit(int64(heapPart * float64(s.Memory.LimitMB<<20)))
-	debug.SetGCPercent(collectAt)
+	debug.SetMemoryLimit(int64(heapFraction * float64(s.Memory.LimitMB<<20)))
+	debug.SetGCPercent(gcPercent)
 	g := &Gateway{
 		settings: s, platform: p, log: log, clock: clock.Open(p.Clocks),
 		counters: counters, paces: pace.New(pace.Cautious()),
 		directory: directory.New(), balancer: balance.New(s.Instance.Zone, s.Zones),
 	}
 	g.now = g.clock.Now
-	g.began = g.now()
+	g.started = g.now()
 	g.roster = roster.New(g.now)
 	g.pool = uplink.NewPool(g.counters.Scope, g.now)
-	g.pool.Heard = func(life string, head *http.Response) { g.noticed(life, g.platform.Dialect.Notice(head)) }
-	g.openFeed() // first, since a peer's certificate may come as soon as the transport listens
+	g.pool.Heard = func(life string, head *http.Response) { g.handleNotice(life, g.platform.Dialect.Notice(head)) }
+	g.openFeed() // first, because a peer's certificate may arrive as soon as the transport listens
 	if err := g.openPeers(); err != nil {
 		return nil, err
 	}
@@ -149,7 +152,7 @@
 	return g, nil
 }
 
-// openPeers opens the transport between instances and what runs over it.
+// openPeers opens the transport between instances and creates the parts that use it.
 func (g *Gateway) openPeers() error {
 	s, scope := g.settings, g.counters.Scope
 	identity, err := peer.NewIdentity(s.Instance.Name)
@@ -164,7 +167,7 @@
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	g.transport.Queue(peerQueue)
+	g.transport.Queue(peerQueueLength)
 	if s.Peers.Advertise != "" {
 		g.transport.Advertise(netip.MustParseAddrPort(s.Peers.Advertise))
 	}
@@ -176,7 +179,7 @@
 	})
 	g.broker = broker.New(broker.Options{
 		Name: s.Instance.Name, Zone: s.Instance.Zone, Transport: g.transport, Roster: g.roster,
-		Directory: g.directory, Log: g.log, Scope: scope, Now: g.now, Load: g.load, Paces: g.paces, Regions: s.Zones, Spent: g.throttle.Spent,
+		Directory: g.directory, Log: g.log, Scope: scope, Now: g.now, Load: g.fetchLoad, Paces: g.paces, Regions: s.Zones, Spent: g.throttle.Spent,
 		Saw: func(a placement.Ask) {
 			g.staging.Saw(a.Service, a.Prompt, g.paces.Length(a.Service, a.Route, a.Output, a.Most).Mean)
 		},
@@ -198,14 +201,14 @@
 	return nil
 }
 
-// trusted names the peer that has a certificate. One that is not known may
-// have started a moment ago; if the relay does not tell of it soon, the entries
-// of peers are read.
+// trusted returns the name of the peer with a certificate. An unknown peer may have just
+// started: if the relay does not announce it soon, the peers' entries are read from the
+// store.
 func (g *Gateway) trusted(fingerprint string) (string, bool) {
 	name, ok := g.roster.Trusted(fingerprint)
-	if !ok && g.stranger.CompareAndSwap(false, true) {
-		time.AfterFunc(g.strangerPause(), func() {
-			g.stranger.Store(false)
+	if !ok && g.certCheckPending.CompareAndSwap(false, true) {
+		time.AfterFunc(g.unknownCertDelay(), func() {
+			g.certCheckPending.Store(false)
 			if _, known := g.roster.Trusted(fingerprint); !known {
 				g.feed.CatchUp()
 			}
@@ -214,12 +217,13 @@
 	return name, ok
 }
 
-// strangerPause is how long an unknown certificate waits to be told of.
-func (g *Gateway) strangerPause() time.Duration {
-	if g.now().Sub(g.began) < youngFor {
-		return strangerYoung
+// unknownCertDelay returns how long to wait for the announcement of an unknown
+// certificate.
+func (g *Gateway) unknownCertDelay() time.Duration {
+	if g.now().Sub(g.started) < startupPeriod {
+		return startupCertDelay
 	}
-	return time.Duration(strangerPart * float64(g.settings.Freshness.Bound()))
+	return time.Duration(unknownCertFraction * float64(g.settings.Freshness.Bound()))
 }
 
 func (g *Gateway) openFeed() {
@@ -230,25 +234,25 @@
 		Watching: func() bool { return g.relay.Watching() }, Told: func() { g.relay.Told() },
 		Lost: func() { g.relay.Lost() }, Regained: func() { g.relay.Regained() },
 		Suspects:   func(n suspects.News) { g.suspects.TakeStored(n) },
-		Warming:    g.warming,
+		Warming:    g.endpointCold,
 		ZoneSize:   func() int { return g.relay.ZoneSize() },
 		Progressed: func(entries int) { g.relay.Progressed(entries) },
 		Seed:       func(ctx context.Context) bool { return g.relay.Seed(ctx) },
 	})
 }
 
-// openStaging prepares the duty of giving orders to engines.
+// openStaging creates the parts for giving orders to engines.
 func (g *Gateway) openStaging() {
 	g.duty = &leadership.Leadership{
 		Name: g.settings.Instance.Name, Registry: g.platform.Duty, Gap: g.settings.Orders.Gap,
 		Log: g.log, Now: g.now,
 		Candidate: func() bool {
-			return g.broker.Plans() && !g.leaving.Load() && g.now().Sub(g.began) >= roster.JoinTime
+			return g.broker.Plans() && !g.leaving.Load() && g.now().Sub(g.started) >= roster.JoinTime
 		},
 	}
 	g.staging = &staging.Runner{
-		Directory: g.directory, Leadership: g.duty, Send: g.order,
-		Spared: g.spares,
+		Directory: g.directory, Leadership: g.duty, Send: g.sendOrder,
+		Spared: g.avoids,
 		Closed: func(o staging.Order) { g.broker.Close(o.Endpoint.Zone, o.Endpoint.ID) },
 		Log:    g.log, Scope: g.counters.Scope, Now: g.now, Paces: g.paces,
 	}
@@ -260,7 +264,7 @@
 		Dialect: g.platform.Dialect, Directory: g.directory, Balancer: g.balancer, Pool: g.pool,
 		Log: g.log, Scope: g.counters.Scope, Now: g.now,
 		Retry:      s.Retry.Rule(),
-		BodyMemory: int64(bodyPart * float64(s.Memory.LimitMB<<20)), Stall: s.Callers.Stall,
+		BodyMemory: int64(bodyMemoryFraction * float64(s.Memory.LimitMB<<20)), Stall: s.Callers.Stall,
 		Limits:    forward.Limiter{Admit: g.meter.Admit, Credit: g.meter.Credit},
 		Permits:   forward.Permits{Take: g.throttle.Take, Return: g.throttle.Return, Withheld: g.throttle.Withheld, Unnamed: g.throttle.Unnamed},
 		FindPlace: g.broker.Find, ReleasePlace: g.broker.Release, BeganAtPlace: g.broker.Began,
@@ -268,26 +272,28 @@
 		Suspects:    g.suspects, Regions: s.Zones, Isolated: g.isolated,
 		Gone: func(id string) { g.feed.Tell(directory.Denied{ID: id}) },
 	})
-	g.forwarder.Share(leastShares)
+	g.forwarder.Share(minShares)
 }
 
-// leastShares divides the retry allowance while few instances are known.
-const leastShares = 8
+// minShares is the minimum number of shares into which the retry allowance is divided,
+// while few instances are known.
+const minShares = 8
 
-// rosterChanged divides the retry allowance anew, and writes the own entry
-// again if it was there and is there no more.
+// rosterChanged divides the retry allowance by the largest number of instances seen at
+// once. It writes this instance's entry again if it was in the roster and has disappeared
+// or been replaced.
 func (g *Gateway) rosterChanged() {
-	g.forwarder.Share(max(g.roster.Most(), leastShares))
+	g.forwarder.Share(max(g.roster.Most(), minShares))
 	if i, known := g.roster.Find(g.self.Name); known && i.Fingerprint == g.self.Fingerprint {
 		return
 	}
 	if _, was := g.roster.Trusted(g.self.Fingerprint); was {
-		g.member.Change(g.present())
+		g.member.Change(g.currentEntry())
 	}
 }
 
-// present is this instance's entry as it should be now.
-func (g *Gateway) present() roster.Instance {
+// currentEntry returns this instance's roster entry with its current state.
+func (g *Gateway) currentEntry() roster.Instance {
 	self := g.self
 	self.Leaving = g.leaving.Load()
 	return self
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -11,11 +11,11 @@
 	"github.com/trailshed/trailshed/internal/staging"
 )
 
-// errRests says that a call was not made because its engine wants none now.
-var errRests = Error.New("the engine rests")
+// errAvoided is returned for a call that was not made because its engine is avoided.
+var errAvoided = Error.New("the engine is avoided for now")
 
-// noticed takes what one life of an endpoint says of itself in an answer.
-func (g *Gateway) noticed(life string, n notice.Notice) {
+// handleNotice applies a notice in a response of one life of an endpoint.
+func (g *Gateway) handleNotice(life string, n notice.Notice) {
 	if n.Leaving {
 		g.counters.Scope.Counter("answers_leaving").Inc(1)
 		g.feed.Tell(directory.Leaving{ID: life})
@@ -33,15 +33,16 @@
 	}
 }
 
-// spares says whether an engine is to get no call of this instance's own now: it wants to
-// be left alone, its zone is evacuated, or its limit has no room.
-func (g *Gateway) spares(ctx context.Context, engine *directory.Endpoint) bool {
+// avoids reports whether this instance must not make calls of its own to an engine now:
+// the engine asked to back off, its zone is evacuated, or its limit is exhausted. If it
+// returns false, it has taken a permit for one call.
+func (g *Gateway) avoids(ctx context.Context, engine *directory.Endpoint) bool {
 	return g.balancer.Rests(g.now(), engine.ID) || g.directory.View().Evacuated[engine.Zone] ||
 		g.throttle.Take(ctx, engine.ID, permit.Background) > 0
 }
 
-// warming takes that an endpoint is cold, if its service bounds what a cold one takes.
-func (g *Gateway) warming(e directory.Endpoint) {
+// endpointCold limits the rate of a cold endpoint, if its service has such a limit.
+func (g *Gateway) endpointCold(e directory.Endpoint) {
 	t := g.directory.View().Table
 	if t == nil {
 		return
@@ -51,7 +52,7 @@
 	}
 }
 
-// zoneOf is an endpoint's zone; the own one if it is not known.
+// zoneOf returns an endpoint's zone, or this instance's if the endpoint is not known.
 func (g *Gateway) zoneOf(life string) string {
 	if e := g.directory.View().Find(life); e != nil {
 		return e.Zone
@@ -59,15 +60,15 @@
 	return g.self.Zone
 }
 
-// load asks an engine what it works on, unless it wants to be left alone.
-func (g *Gateway) load(ctx context.Context, e directory.Endpoint) (placement.Loaded, error) {
-	if g.spares(ctx, &e) {
-		return placement.Loaded{}, errRests
+// fetchLoad requests an engine's load, unless the engine is avoided.
+func (g *Gateway) fetchLoad(ctx context.Context, e directory.Endpoint) (placement.Loaded, error) {
+	if g.avoids(ctx, &e) {
+		return placement.Loaded{}, errAvoided
 	}
-	return g.platform.Load(ctx, e, func(n notice.Notice) { g.noticed(e.ID, n) })
+	return g.platform.Load(ctx, e, func(n notice.Notice) { g.handleNotice(e.ID, n) })
 }
 
-// order sends an engine an order.
-func (g *Gateway) order(ctx context.Context, o staging.Order, holder string, fence int64) error {
-	return g.platform.Order(ctx, o, holder, fence, func(n notice.Notice) { g.noticed(o.Endpoint.ID, n) })
+// sendOrder sends an order to an engine.
+func (g *Gateway) sendOrder(ctx context.Context, o staging.Order, holder string, fence int64) error {
+	return g.platform.Order(ctx, o, holder, fence, func(n notice.Notice) { g.handleNotice(o.Endpoint.ID, n) })
 }
--- a/internal/gateway/notices_test.go
+++ b/internal/gateway/notices_test.go
@@ -20,19 +20,19 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// Reports and orders are for nobody's request, so an engine that wants none, whose limit
-// has no room or whose zone is evacuated gets neither.
-func TestEnginesThatGetNoCallsOfOurOwn(t *testing.T) {
+// Load reports and orders do not serve a request, so an engine that asked to back off,
+// whose limit is exhausted or whose zone is evacuated gets neither.
+func TestAvoidedEngines(t *testing.T) {
 	engine := directory.Endpoint{ID: "e1", Service: "llm", Zone: "b", Stage: directory.Decode, Revision: 1}
 	tests := []struct {
-		name   string
-		spared bool
-		make   func(g *Gateway)
+		name    string
+		avoided bool
+		setup   func(g *Gateway)
 	}{
-		{"nothing is said of it", false, func(*Gateway) {}},
-		{"it rests", true, func(g *Gateway) { g.balancer.Rest(g.now(), engine.ID, time.Second) }},
-		{"its limit has no room", true, func(g *Gateway) { g.throttle.Named(engine.ID, 0) }},
-		{"another one's limit has no room", false, func(g *Gateway) { g.throttle.Named("e2", 0) }},
+		{"no notice", false, func(*Gateway) {}},
+		{"it asked to back off", true, func(g *Gateway) { g.balancer.Rest(g.now(), engine.ID, time.Second) }},
+		{"its limit is exhausted", true, func(g *Gateway) { g.throttle.Named(engine.ID, 0) }},
+		{"another engine's limit is exhausted", false, func(g *Gateway) { g.throttle.Named("e2", 0) }},
 		{"its zone is evacuated", true, func(g *Gateway) {
 			g.directory.Apply(0, directory.Evacuation{Zone: engine.Zone, Revision: 2})
 		}},
@@ -58,13 +58,13 @@
 				Name: "n1", Zone: "a", Roster: roster.New(now), Log: log, Scope: tally.NoopScope, Now: now,
 				ZoneOf: g.zoneOf, StoreAway: func() bool { return false },
 			})
-			g.staging = &staging.Runner{Spared: g.spares}
+			g.staging = &staging.Runner{Spared: g.avoids}
 			g.directory.Apply(0, directory.Seen{Endpoint: engine})
-			test.make(g)
-			c.Check(g.staging.Spared(t.Context(), &engine), qt.Equals, test.spared)
-			_, err := g.load(t.Context(), engine)
-			c.Check(err != nil, qt.Equals, test.spared)
-			c.Check(calls == 0, qt.Equals, test.spared)
+			test.setup(g)
+			c.Check(g.staging.Spared(t.Context(), &engine), qt.Equals, test.avoided)
+			_, err := g.fetchLoad(t.Context(), engine)
+			c.Check(err != nil, qt.Equals, test.avoided)
+			c.Check(calls == 0, qt.Equals, test.avoided)
 		})
 	}
 }
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -9,38 +9,38 @@
 	"github.com/trailshed/trailshed/internal/ticker"
 )
 
-// lookEvery is how often the settings file is looked at: it may change without
-// any signal.
-const lookEvery = time.Second
+// checkInterval is the interval at which the settings file is checked, because it may
+// change without a signal.
+const checkInterval = time.Second
 
-// Follow takes over changes of the settings file, on each signal and when the
-// file has changed, until ctx ends. Settings that cannot be read change nothing.
+// Follow reloads the settings file on each signal and when it has changed, until ctx ends.
+// Invalid settings are not applied.
 func (g *Gateway) Follow(ctx context.Context, file string, signals <-chan os.Signal) {
 	seen := stamp(file)
-	look := func() {
+	check := func() {
 		if now := stamp(file); now != seen {
 			seen = now
 			g.reload(file)
 		}
 	}
-	go ticker.Every(ctx, lookEvery, func() {
+	go ticker.Every(ctx, checkInterval, func() {
 		select {
 		case <-signals:
 			seen = stamp(file)
 			g.reload(file)
 		default:
-			look()
+			check()
 		}
 	})
 }
 
-// fileStamp tells one writing of a file from another.
+// fileStamp identifies one version of a file.
 type fileStamp struct {
 	size     int64
 	modified time.Time
 }
 
-// stamp is zero while the file cannot be seen.
+// stamp returns a file's stamp, which is zero if the file cannot be accessed.
 func stamp(file string) fileStamp {
 	info, err := os.Stat(file)
 	if err != nil {
@@ -58,8 +58,8 @@
 	g.Reload(next)
 }
 
-// Reload takes over what can change in a running process: the retry allowance
-// and the grace period. Addresses and names stay until the next start.
+// Reload applies the settings that can change in a running process: the retry allowance
+// and the grace period. The others take effect at the next start.
 func (g *Gateway) Reload(next *Settings) {
 	g.mu.Lock()
 	before := *g.settings
@@ -71,12 +71,12 @@
 		before.Store != next.Store || before.Instance != next.Instance || before.Memory != next.Memory ||
 		before.Orders != next.Orders || before.Limits != next.Limits || before.Freshness != next.Freshness || before.Processor != next.Processor {
 		n.Outcome = "applied_in_part"
-		n.Detail = "addresses, names and memory are in force from the next start"
+		n.Detail = "addresses, names and memory take effect at the next start"
 	}
 	g.log.Write(n)
 }
 
-// grace is the time between SIGTERM and SIGKILL.
+// grace returns the time between SIGTERM and SIGKILL.
 func (g *Gateway) grace() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -19,22 +19,23 @@
 )
 
 const (
-	// balancerDelay is how long after SIGTERM new connections may come: the
-	// balancer asks each second and takes an instance out after two misses.
+	// balancerDelay is how long after SIGTERM new connections may arrive: the balancer
+	// checks every second, and removes an instance after two failed checks.
 	balancerDelay = 3200 * time.Millisecond
-	// lastStream is how long after SIGTERM streams are taken on. Later ones, on
-	// connections that callers keep, might not end within the grace period.
-	lastStream = 2800 * time.Millisecond
-	// lastStreamPart is the same as a percentage of short grace periods.
-	lastStreamPart = 35
-	// exitMargin is kept of the grace period for the process's own end.
+	// streamCutoff is how long after SIGTERM streams are accepted. Later ones, on
+	// connections that callers keep open, might not end within the grace period.
+	streamCutoff = 2800 * time.Millisecond
+	// streamCutoffPercent bounds the same time, as a percentage of the grace period, if that
+	// is short.
+	streamCutoffPercent = 35
+	// exitMargin is the part of the grace period reserved for the exit of the process.
 	exitMargin = 250 * time.Millisecond
 )
 
-// Run serves until stop is closed and the stop is done.
+// Run serves until stop is closed or a listener fails, and returns after the shutdown.
 func (g *Gateway) Run(stop <-chan struct{}) error {
 	ctx, cancel := context.WithCancel(context.Background())
-	router, err := g.messages()
+	router, err := g.newRouter()
 	if err != nil {
 		cancel()
 		return err
@@ -69,15 +70,14 @@
 	return Error.Wrap(err)
 }
 
-// Close frees what Run leaves open. A process that exits need not call it.
+// Close releases the resources that Run leaves open. A process that exits need not call it.
 func (g *Gateway) Close() error { return Error.Wrap(g.close()) }
 
-// listen opens the TCP listeners: for callers, for the balancer's question and
-// for metrics.
+// listen opens the TCP listeners for callers, readiness checks and metrics.
 func (g *Gateway) listen() error {
 	callers := &http.Server{
 		Addr: g.settings.Callers.Listen, Handler: g.forwarder,
-		ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: headerBytes, ConnState: g.accepted,
+		ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes, ConnState: g.limitSendBuffer,
 	}
 	ready := &http.Server{Addr: g.settings.Callers.Ready, Handler: g.readiness(), ReadHeaderTimeout: headerTimeout}
 	admin := &http.Server{Addr: g.settings.Admin.Listen, Handler: g.admin(), ReadHeaderTimeout: headerTimeout}
@@ -92,14 +92,14 @@
 	return nil
 }
 
-// Addresses returns where callers are served and where the balancer asks.
+// Addresses returns the listening addresses for callers and for readiness checks.
 func (g *Gateway) Addresses() (callers, ready netip.AddrPort) {
 	at := func(i int) netip.AddrPort { return netip.MustParseAddrPort(g.listeners[i].Addr().String()) }
 	return at(0), at(1)
 }
 
-// messages returns the router of what other instances send.
-func (g *Gateway) messages() (*message.Router, error) {
+// newRouter returns a router with the handlers for messages from other instances.
+func (g *Gateway) newRouter() (*message.Router, error) {
 	router, err := message.NewRouter(message.RouterConfig{CloseTimeout: time.Second}, watermill.NopLogger{})
 	if err != nil {
 		return nil, Error.Wrap(err)
@@ -112,22 +112,22 @@
 	return router, nil
 }
 
-// stop goes on serving until the balancer has taken this instance out, then
-// finishes what runs.
+// stop continues to serve until the balancer has removed this instance, then waits for
+// running requests to finish.
 func (g *Gateway) stop() {
-	started := g.now() // the grace period goes on while the machine is suspended
+	started := g.now() // the grace period includes time in which the machine is suspended
 	g.leaving.Store(true)
 	g.forwarder.Leave()
-	g.member.Change(g.present())
+	g.member.Change(g.currentEntry())
 	g.log.Write(eventlog.Line{Event: eventlog.Stopping, Reason: "told_to_stop", Count: g.forwarder.Running()})
 	grace := g.grace()
-	time.Sleep(min(lastStream, grace*lastStreamPart/100))
+	time.Sleep(min(streamCutoff, grace*streamCutoffPercent/100))
 	g.forwarder.RefuseStreams()
 	time.Sleep(min(balancerDelay, grace/2) - g.now().Sub(started))
 	left := grace - g.now().Sub(started) - exitMargin
 	ctx, cancel := context.WithTimeout(context.Background(), left)
 	defer cancel()
-	_ = g.servers[0].Shutdown(ctx) // its only error is that time ran out, which Stopped shows by its count
+	_ = g.servers[0].Shutdown(ctx) // it fails only by timeout, which the count in the Stopped event shows
 }
 
 func (g *Gateway) sweep(ctx context.Context) {
@@ -135,12 +135,12 @@
 		g.pool.Sweep()
 		g.feed.Tell(directory.Tick{})
 		g.balancer.Forget(g.directory.View())
-		g.measure()
+		g.updateGauges()
 	})
 }
 
-// measure updates what is read off rather than counted.
-func (g *Gateway) measure() {
+// updateGauges samples the values that are not counted as they change.
+func (g *Gateway) updateGauges() {
 	scope, v := g.counters.Scope, g.directory.View()
 	scope.Gauge("requests_running").Update(float64(g.forwarder.Running()))
 	scope.Gauge("log_lines_dropped").Update(float64(g.log.Dropped()))
@@ -159,29 +159,29 @@
 	}
 }
 
-// callerBuffer bounds, in bytes, the kernel's send buffer of a caller's connection.
-// Auto-tuning lets it grow to megabytes, and a blocked write resumes only once a third is
-// free: a slow reader would look like a stalled one.
-const callerBuffer = 64 << 10
+// callerSendBuffer is the size in bytes of the kernel's send buffer of a caller's connection.
+// Auto-tuning would let it grow to megabytes, and a blocked write resumes only once a
+// third of it is free, so that a slow reader would look like a stalled one.
+const callerSendBuffer = 64 << 10
 
-// accepted bounds what a new connection holds.
-func (g *Gateway) accepted(c net.Conn, state http.ConnState) {
+// limitSendBuffer sets the size of a new connection's send buffer.
+func (g *Gateway) limitSendBuffer(c net.Conn, state http.ConnState) {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok || state != http.StateNew {
 		return
 	}
-	if err := tcp.SetWriteBuffer(callerBuffer); err != nil {
+	if err := tcp.SetWriteBuffer(callerSendBuffer); err != nil {
 		g.counters.Scope.Counter("connections_unbounded").Inc(1)
 	}
 }
 
-// ready says whether new connections should come here.
+// ready reports whether new connections should be routed to this instance.
 func (g *Gateway) ready() bool {
 	return !g.leaving.Load() && g.directory.View().Table != nil && !g.isolated()
 }
 
-// isolated says whether no change can reach this instance: the store does not answer, and
-// peers do not answer an instance that was never registered there.
+// isolated reports whether no changes can reach this instance: the store does not respond,
+// and peers do not respond to an instance that was never registered there.
 func (g *Gateway) isolated() bool {
 	return !g.member.Registered() && g.relay.LostFor() > g.settings.Freshness.Bound()
 }
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -14,15 +14,15 @@
 	"github.com/trailshed/trailshed/internal/valid"
 )
 
-// Default is the commented file of defaults.
+// Default is a settings file that documents every key and its default.
 //
 //go:embed default.yaml
 var Default []byte
 
-// Settings are those of one gateway process.
+// Settings configures one gateway process.
 type Settings struct {
 	Instance Instance `yaml:"instance"`
-	// Zones has the region of each availability zone.
+	// Zones maps each availability zone to its region.
 	Zones     map[string]string `yaml:"zones"`
 	Callers   Callers           `yaml:"callers"`
 	Peers     Peers             `yaml:"peers"`
@@ -37,91 +37,92 @@
 	Processor Processor         `yaml:"processor"`
 }
 
-// Instance says which instance this is.
+// Instance identifies this instance.
 type Instance struct {
 	Name string `yaml:"name" validate:"required"`
 	Zone string `yaml:"zone" validate:"required"`
 }
 
-// Callers is where requests and the balancer's question arrive.
+// Callers configures the listeners for requests and for the balancer's readiness checks.
 type Callers struct {
 	Listen string `yaml:"listen" validate:"required,tcp_addr"`
 	Ready  string `yaml:"ready" validate:"required,tcp_addr"`
-	// Stall is how long a caller may leave an answer unread.
+	// Stall is how long a caller may leave a response unread.
 	Stall time.Duration `yaml:"stall" validate:"gt=0"`
 }
 
-// Peers is the QUIC listener between our own processes.
+// Peers configures the QUIC listener for other gateway processes.
 type Peers struct {
 	Listen string `yaml:"listen" validate:"required,udp_addr"`
-	// Advertise is what peers are told; empty: what it listens on.
+	// Advertise is the address announced to peers. If empty, it is the listening one.
 	Advertise string `yaml:"advertise" validate:"omitempty,udp_addr"`
 }
 
-// Admin is where metrics are served.
+// Admin configures the listener for metrics.
 type Admin struct {
 	Listen string `yaml:"listen" validate:"required,tcp_addr"`
 }
 
-// Store is the platform's store.
+// Store configures access to the platform's store.
 type Store struct {
 	Address string        `yaml:"address" validate:"required,tcp_addr"`
 	Timeout time.Duration `yaml:"timeout" validate:"min=10ms,max=1m"`
 }
 
-// Retry is the allowance of extra sends of all instances together.
+// Retry is the allowance for extra sends by all instances together.
 type Retry struct {
 	Ratio  float64       `yaml:"ratio" validate:"min=0,max=10"`
 	Slack  float64       `yaml:"slack" validate:"min=0"`
 	Window time.Duration `yaml:"window" validate:"min=100ms,max=10m"`
 }
 
-// Rule is the allowance that these settings give.
+// Rule returns the allowance as a rule for package budget.
 func (r Retry) Rule() budget.Rule {
 	return budget.Rule{Ratio: r.Ratio, Slack: r.Slack, Window: r.Window}
 }
 
-// Limits is how workspaces' limits are judged. The limits themselves are in the
+// Limits configures how workspaces' limits are enforced. The limits themselves are in the
 // operators' configuration.
 type Limits struct {
 	Window time.Duration `yaml:"window" validate:"min=400ms,max=10m"`
 }
 
-// Stop bounds a planned stop.
+// Stop bounds the duration of a planned stop.
 type Stop struct {
 	Grace time.Duration `yaml:"grace" validate:"min=100ms,max=1h"`
 }
 
-// Orders bounds who may give orders to engines.
+// Orders configures the orders to engines. Gap is the minimum time between orders of two
+// instances.
 type Orders struct {
 	Gap time.Duration `yaml:"gap" validate:"min=100ms,max=5m"`
 }
 
-// Freshness is how soon changes must be in force everywhere.
+// Freshness is how soon changes must take effect at all instances.
 type Freshness struct {
 	Configuration time.Duration `yaml:"configuration" validate:"min=500ms,max=1m"`
 	Endpoints     time.Duration `yaml:"endpoints" validate:"min=500ms,max=1m"`
 }
 
-// Bound is the shorter time, since changes of both kinds are told together.
+// Bound returns the shorter time, because changes of both kinds are announced together.
 func (f Freshness) Bound() time.Duration { return min(f.Configuration, f.Endpoints) }
 
-// Memory is what this process may use.
+// Memory is the memory limit of this process.
 type Memory struct {
 	LimitMB int64 `yaml:"limit_mb" validate:"min=16"`
 }
 
-// Processor is what this process may use of one.
+// Processor is the processor capacity of this process.
 type Processor struct {
-	Share float64 `yaml:"share" validate:"gt=0"` // of a core
-	Speed float64 `yaml:"speed" validate:"gt=0"` // of that core beside others'
+	Share float64 `yaml:"share" validate:"gt=0"` // fraction of a core
+	Speed float64 `yaml:"speed" validate:"gt=0"` // of that core, relative to others
 }
 
-// Capacity is the processor's worth in cores of common speed.
+// Capacity returns the processor capacity in cores of speed 1.
 func (p Processor) Capacity() float64 { return p.Share * p.Speed }
 
-// LoadSettings reads, fills with defaults and checks file. Keys that it does
-// not know are skipped, because the platform's settings may gain new ones.
+// LoadSettings reads and validates a settings file and fills in defaults. Unknown keys are
+// ignored, because the platform's settings may gain new ones.
 func LoadSettings(file string) (*Settings, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -130,7 +131,7 @@
 	return ParseSettings(file, data)
 }
 
-// ParseSettings checks data as LoadSettings does; file only names it in errors.
+// ParseSettings parses data as LoadSettings does. file is used in error messages only.
 func ParseSettings(file string, data []byte) (*Settings, error) {
 	s := &Settings{}
 	if err := yaml.Unmarshal(Default, s); err != nil {
@@ -147,11 +148,11 @@
 	return s, nil
 }
 
-// summary tells the settings in force for the log; none of them is secret.
+// summary returns the main settings for the log. None of them is secret.
 func (s *Settings) summary() string {
 	return fmt.Sprintf("store %s, retry ratio %g slack %g window %s, grace %s, memory %d MB",
 		s.Store.Address, s.Retry.Ratio, s.Retry.Slack, s.Retry.Window, s.Stop.Grace, s.Memory.LimitMB)
 }
 
-// StoreAddress is the parsed address of the store.
+// StoreAddress returns the parsed address of the store.
 func (s *Settings) StoreAddress() netip.AddrPort { return netip.MustParseAddrPort(s.Store.Address) }
--- a/internal/gateway/settings_test.go
+++ b/internal/gateway/settings_test.go
@@ -21,9 +21,9 @@
 `
 
 func TestParseSettings(t *testing.T) {
-	tests := []struct{ name, old, new, says string }{
+	tests := []struct{ name, old, new, want string }{
 		{"good", "", "", ""},
-		{"unknown keys are skipped", "stop:", "future: {x: 1}\nstop:", ""},
+		{"unknown keys are ignored", "stop:", "future: {x: 1}\nstop:", ""},
 		{"field missing", "name: n1, ", "", "instance.name: \"\" breaks the rule required"},
 		{"not an address", "10.0.0.1:80\"", "somewhere\"", "callers.listen: \"somewhere\""},
 		{"wrong type", "ratio: 0.3", "ratio: much", "ratio"},
@@ -35,13 +35,13 @@
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			s, err := gateway.ParseSettings("f.yaml", []byte(strings.Replace(good, test.old, test.new, 1)))
-			if test.says == "" {
+			if test.want == "" {
 				c.Assert(err, qt.IsNil)
 				c.Assert(s.Retry.Ratio, qt.Equals, 0.3)
 				c.Assert(s.Store.Timeout, qt.Equals, time.Second) // the default
 				return
 			}
-			c.Assert(err, qt.ErrorMatches, "(?s).*f.yaml.*"+test.says+".*")
+			c.Assert(err, qt.ErrorMatches, "(?s).*f.yaml.*"+test.want+".*")
 		})
 	}
 }
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -6,24 +6,26 @@
 	"github.com/trailshed/trailshed/internal/suspects"
 )
 
-// rolePassOn is the role of passing on what other zones tell of requests that end
-// endpoints. Those who check on the store have it: their zone's peers talk to them.
-const rolePassOn = "check"
+// roleRelay is the role by which instances are ranked as relays for records of requests
+// that end endpoints. It is the role of checking on the store, because its holders
+// already communicate with the peers of their zone.
+const roleRelay = "check"
 
-// openSuspects prepares the memory of requests that end endpoints.
+// openSuspects creates the records of requests that end endpoints.
 func (g *Gateway) openSuspects() {
 	g.suspects = suspects.New(suspects.Options{
 		Name: g.self.Name, Zone: g.self.Zone, Transport: g.transport, Store: g.platform.Suspects,
-		Scope: g.counters.Scope, Now: g.now, Peers: g.suspectsPeers,
+		Scope: g.counters.Scope, Now: g.now, Peers: g.suspectPeers,
 		Watching: func() bool { return g.relay.Watching() },
-		Held:     g.requestHeld,
+		Held:     g.logHeld,
 		Unreadable: func(err error, revision int64) {
 			g.log.Write(eventlog.Line{Event: eventlog.Unreadable, Detail: err.Error(), Revision: revision})
 		},
 	})
 }
 
-func (g *Gateway) requestHeld(r quarantine.Record) {
+// logHeld logs that a request became held or was cleared.
+func (g *Gateway) logHeld(r quarantine.Record) {
 	n := eventlog.Line{Event: eventlog.Believed, Work: r.Work.String(), Count: int64(len(r.Ended)), Outcome: "request_cleared"}
 	if r.Held() {
 		n.Outcome = "request_held"
@@ -31,11 +33,11 @@
 	g.log.Write(n)
 }
 
-// suspectsPeers are all instances, zone by zone in the order in which they pass on.
-func (g *Gateway) suspectsPeers() []suspects.Peer {
+// suspectPeers returns all instances, by zone and in the order of their rank as relays.
+func (g *Gateway) suspectPeers() []suspects.Peer {
 	var list []suspects.Peer
 	for _, zone := range g.roster.Zones() {
-		for _, r := range g.roster.Ranked(zone, rolePassOn) {
+		for _, r := range g.roster.Ranked(zone, roleRelay) {
 			list = append(list, suspects.Peer{Name: r.Name, Zone: r.Zone, Address: r.Address})
 		}
 	}
--- a/internal/gateway/suspension.go
+++ b/internal/gateway/suspension.go
@@ -8,8 +8,9 @@
 	"github.com/trailshed/trailshed/internal/suspension"
 )
 
-// watchClock has what waits on timers or connections catch up once the machine was
-// suspended. Leases, windows and rests are compared with the clock, which went on.
+// watchClock makes timers and connections catch up after the machine was suspended.
+// Leases, windows and backoffs need no update, because they are compared with the clock,
+// which includes the suspension.
 func (g *Gateway) watchClock(ctx context.Context) {
 	suspension.Watch(ctx, g.clock, func(slept time.Duration) {
 		g.log.Write(eventlog.Line{Event: eventlog.Suspended, Took: slept})
@@ -17,7 +18,7 @@
 		g.forwarder.Resume()
 		if slept >= suspension.Long {
 			g.transport.Reconnect()
-			g.feed.CatchUp() // the watch in progress may wait on a connection that is dead
+			g.feed.CatchUp() // the current watch may wait on a dead connection
 		}
 	})
 }
