--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -1,7 +1,7 @@
-// Package leadership makes one instance at a time the holder of a duty. The
-// right rests on a lease in the platform's store; the holder stops by its own
-// clock before the lease can end, and a new holder begins only after a former
-// one's last acts must have arrived, because not everyone checks fences.
+// Package leadership elects one instance at a time as the holder of a duty, by a lease in
+// the platform's store. The holder stops by its own clock before the lease can expire. A
+// new holder starts only once the last acts of a former one must have arrived, because not
+// every receiver checks fences.
 package leadership
 
 import (
@@ -15,50 +15,50 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// ErrTaken says that another instance holds the duty.
+// ErrTaken is returned by Acquire if another instance holds the duty.
 var ErrTaken = errors.New("another instance holds the duty")
 
-// ErrLapsed says that the lease is over.
+// ErrLapsed is returned by Renew if the lease has expired.
 var ErrLapsed = errors.New("lease has lapsed")
 
-// Registry writes the holder's entry.
+// Registry provides access to the duty's lease in the store.
 type Registry struct {
-	// Acquire takes the duty with a new lease, unless another holds it. The
-	// fence rises with each holder.
-	Acquire func(ctx context.Context, holder string, life time.Duration) (lease, fence int64, err error)
-	// Renew keeps the lease; ErrLapsed says that it is over.
+	// Acquire takes the duty with a new lease. It returns ErrTaken if another instance
+	// holds it. The fence increases with each holder.
+	Acquire func(ctx context.Context, holder string, duration time.Duration) (lease, fence int64, err error)
+	// Renew extends the lease. It returns ErrLapsed if the lease has expired.
 	Renew func(ctx context.Context, lease int64) error
 }
 
 const (
-	// leaseLeast is the shortest lease that leaves time for a missed renewal.
-	leaseLeast = 3 * time.Second
-	// stopBefore is how long before the lease's end the holder stops.
-	stopBefore = time.Second
-	// underWay is how long an act of a former holder may be under way.
-	underWay = 1500 * time.Millisecond
-	// step is how often the lease is renewed, or asked for.
-	step = 800 * time.Millisecond
-	// askIdle is the pause between asks while another holds the duty.
-	askIdle = 5 * time.Second
+	// minLease is the shortest lease that allows for one missed renewal.
+	minLease = 3 * time.Second
+	// stopMargin is how long before the end of its lease the holder stops acting.
+	stopMargin = time.Second
+	// maxActDelay is the longest time that an act of a former holder may take to arrive.
+	maxActDelay = 1500 * time.Millisecond
+	// renewInterval is the interval between renewals of the lease.
+	renewInterval = 800 * time.Millisecond
+	// acquireInterval is the interval between attempts to acquire the duty.
+	acquireInterval = 5 * time.Second
 )
 
-// Leadership is one instance's part in a duty.
+// Leadership is one instance's participation in the election for a duty.
 type Leadership struct {
 	Name     string
 	Registry Registry
-	// Gap is the least time between the acts of two holders.
+	// Gap is the minimum time between the acts of two holders.
 	Gap time.Duration
 	Log *eventlog.Log
 	Now func() clock.Millis
-	// Candidate says whether this instance should ask for the duty.
+	// Candidate reports whether this instance should try to acquire the duty.
 	Candidate func() bool
 
-	mu      sync.Mutex
-	lease   int64
-	fence   int64
-	until   clock.Millis // by the own clock, counted from before the call
-	actFrom clock.Millis
+	mu       sync.Mutex
+	lease    int64
+	fence    int64
+	actUntil clock.Millis // end of the right to act by the local clock, counted from before the store call
+	actFrom  clock.Millis // start of the right to act
 }
 
 // Fence returns the holder's fence, if this instance may act now.
@@ -66,17 +66,17 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.Now()
-	return l.fence, l.lease != 0 && now >= l.actFrom && now < l.until
+	return l.fence, l.lease != 0 && now >= l.actFrom && now < l.actUntil
 }
 
-// Run asks for the duty and keeps it until ctx ends.
+// Run acquires the duty and renews its lease until ctx ends.
 func (l *Leadership) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause := step
+		pause := renewInterval
 		if l.lease != 0 {
 			l.renew(ctx)
 		} else if !l.Candidate() || !l.acquire(ctx) {
-			pause = askIdle
+			pause = acquireInterval
 		}
 		ticker.Sleep(ctx, pause)
 	}
@@ -84,20 +84,20 @@
 
 func (l *Leadership) acquire(ctx context.Context) bool {
 	began := l.Now()
-	lease, fence, err := l.Registry.Acquire(ctx, l.Name, l.life())
+	lease, fence, err := l.Registry.Acquire(ctx, l.Name, l.leaseDuration())
 	if err != nil {
-		return false // taken, or the store is away; both are asked again
+		return false // taken, or the store is unavailable; Run tries again in both cases
 	}
 	l.mu.Lock()
 	l.lease, l.fence = lease, fence
-	l.until, l.actFrom = began.Add(l.life()-stopBefore), l.Now().Add(l.Gap+underWay)
+	l.actUntil, l.actFrom = began.Add(l.leaseDuration()-stopMargin), l.Now().Add(l.Gap+maxActDelay)
 	l.mu.Unlock()
 	l.Log.Write(eventlog.Line{Event: eventlog.DutyTaken, Revision: fence})
 	return true
 }
 
-// life is the lease's length.
-func (l *Leadership) life() time.Duration { return max(l.Gap, leaseLeast) }
+// leaseDuration returns the duration of a lease.
+func (l *Leadership) leaseDuration() time.Duration { return max(l.Gap, minLease) }
 
 func (l *Leadership) renew(ctx context.Context) {
 	began := l.Now()
@@ -106,8 +106,8 @@
 	defer l.mu.Unlock()
 	switch {
 	case err == nil:
-		l.until = began.Add(l.life() - stopBefore)
-	case errors.Is(err, ErrLapsed), began >= l.until:
+		l.actUntil = began.Add(l.leaseDuration() - stopMargin)
+	case errors.Is(err, ErrLapsed), began >= l.actUntil:
 		l.lease = 0
 		l.Log.Write(eventlog.Line{Event: eventlog.DutyLost, Detail: err.Error(), Revision: l.fence})
 	}
--- a/internal/leadership/leadership_test.go
+++ b/internal/leadership/leadership_test.go
@@ -17,35 +17,35 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// store is a lease and its holder.
+// store simulates the platform's store with one lease.
 type store struct {
-	mu    sync.Mutex
-	fence int64
-	until time.Time
-	down  map[string]bool
+	mu          sync.Mutex
+	fence       int64
+	until       time.Time
+	unavailable map[string]bool
 }
 
 var errDown = errors.New("down")
 
 func (s *store) registry(name string) leadership.Registry {
 	return leadership.Registry{
-		Acquire: func(_ context.Context, _ string, life time.Duration) (int64, int64, error) {
+		Acquire: func(_ context.Context, _ string, duration time.Duration) (int64, int64, error) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			if s.down[name] {
+			if s.unavailable[name] {
 				return 0, 0, errDown
 			}
 			if time.Now().Before(s.until) {
 				return 0, 0, leadership.ErrTaken
 			}
 			s.fence++
-			s.until = time.Now().Add(life)
+			s.until = time.Now().Add(duration)
 			return s.fence, s.fence, nil
 		},
 		Renew: func(_ context.Context, lease int64) error {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			if s.down[name] {
+			if s.unavailable[name] {
 				return errDown
 			}
 			if lease != s.fence || !time.Now().Before(s.until) {
@@ -57,31 +57,31 @@
 	}
 }
 
-// A holder whose machine was suspended for longer than its lease gives no order when it
-// is resumed, though its steady clock stood still.
+// A holder whose machine was suspended for longer than its lease does not act when it
+// resumes, although its monotonic clock stood still.
 func TestSuspendedHolderStops(t *testing.T) {
 	log := eventlog.Open(io.Discard, "test")
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := &store{down: map[string]bool{}}
-		var steady, asleep atomic.Int64 // ns
+		s := &store{unavailable: map[string]bool{}}
+		var monotonic, suspended atomic.Int64 // ns
 		now := clock.From(clock.Source{
 			Read: func() (time.Duration, time.Duration) {
-				return time.Hour + time.Duration(steady.Load()+asleep.Load()), time.Duration(steady.Load())
+				return time.Hour + time.Duration(monotonic.Load()+suspended.Load()), time.Duration(monotonic.Load())
 			},
-			Asleep: func() (time.Duration, error) { return time.Duration(asleep.Load()), nil },
+			Asleep: func() (time.Duration, error) { return time.Duration(suspended.Load()), nil },
 		})
 		l := &leadership.Leadership{Name: "n1", Registry: s.registry("n1"), Gap: 3 * time.Second, Log: log, Now: now, Candidate: func() bool { return true }}
 		ctx, cancel := context.WithCancel(t.Context())
 		var group sync.WaitGroup
 		group.Go(func() { l.Run(ctx) })
 		synctest.Wait()
-		steady.Add(int64(4600 * time.Millisecond)) // it may act once a former holder's acts have arrived
-		time.Sleep(time.Second)                    // and has renewed its lease
+		monotonic.Add(int64(4600 * time.Millisecond)) // long enough for a former holder's acts to have arrived
+		time.Sleep(time.Second)                       // for a renewal of the lease
 		synctest.Wait()
 		_, acts := l.Fence()
 		c.Assert(acts, qt.IsTrue)
-		asleep.Add(int64(3 * time.Second))
+		suspended.Add(int64(3 * time.Second))
 		_, acts = l.Fence()
 		c.Assert(acts, qt.IsFalse)
 		cancel()
@@ -89,13 +89,13 @@
 	})
 }
 
-// However the store turns instances away, at most one acts, fences rise with
-// holders, and two holders' acts are further apart than a lease.
+// Whichever instances the store refuses, at most one acts at a time, fences increase with
+// each holder, and the acts of two holders are more than a lease apart.
 func TestOneActsAtATime(t *testing.T) {
-	log := eventlog.Open(io.Discard, "test") // its goroutines live outside the bubble
+	log := eventlog.Open(io.Discard, "test") // its goroutines run outside the synctest bubble
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := &store{down: map[string]bool{}}
+		s := &store{unavailable: map[string]bool{}}
 		ctx, cancel := context.WithCancel(t.Context())
 		var group sync.WaitGroup
 		var all []*leadership.Leadership
@@ -110,10 +110,10 @@
 			time.Sleep(100 * time.Millisecond)
 			s.mu.Lock()
 			if i%400 == 0 {
-				s.down = map[string]bool{holder: true} // turned away for a while
+				s.unavailable = map[string]bool{holder: true} // refused for ten seconds
 			}
 			if i%400 == 100 {
-				clear(s.down)
+				clear(s.unavailable)
 			}
 			s.mu.Unlock()
 			acting := 0
