--- a/internal/node/suspects.go
+++ b/internal/node/suspects.go
@@ -59,7 +59,7 @@
 }
 
 func (n *Node) listHeld(ctx context.Context) bool {
-	var news suspects.News
+	var update suspects.News
 	after := ""
 	for {
 		page, err := n.store.List(ctx, heldPrefix, after, heldPageSize)
@@ -70,13 +70,13 @@
 		for _, e := range page {
 			stored, err := decodeHeld(e)
 			if err != nil {
-				news.Problems = append(news.Problems, err)
+				update.Problems = append(update.Problems, err)
 				continue
 			}
-			news.Records = append(news.Records, stored)
+			update.Records = append(update.Records, stored)
 		}
 		if len(page) < heldPageSize {
-			n.suspects.TakeStored(news)
+			n.suspects.TakeStored(update)
 			return true
 		}
 		after = page[len(page)-1].Key
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -150,16 +150,16 @@
 	if cancel := l.cancelDial.Load(); cancel != nil {
 		(*cancel)()
 	}
-	held := l.conn.Load()
-	if held == nil || held == dialled {
+	current := l.conn.Load()
+	if current == nil || current == dialled {
 		return
 	}
-	before, now := certificate(held), certificate(dialled)
+	before, now := certificate(current), certificate(dialled)
 	if before == nil || now == nil || before.Equal(now) {
 		return
 	}
 	l.replaced.Store(true)
-	_ = held.CloseWithError(0, "started anew")
+	_ = current.CloseWithError(0, "started anew")
 }
 
 func (l *link) connect() error {
@@ -167,7 +167,7 @@
 		l.transport.dropInbound(l.to)
 		l.close()
 	}
-	if held := l.conn.Load(); held != nil && held.Context().Err() == nil {
+	if current := l.conn.Load(); current != nil && current.Context().Err() == nil {
 		return nil
 	}
 	l.close()
@@ -231,13 +231,13 @@
 
 // close closes the connection, or only the stream if the peer dialled it.
 func (l *link) close() {
-	held := l.conn.Swap(nil)
+	current := l.conn.Swap(nil)
 	switch {
-	case held == nil:
+	case current == nil:
 	case l.inbound:
 		_ = l.stream.Close()
 	default:
-		_ = held.CloseWithError(0, "idle")
+		_ = current.CloseWithError(0, "idle")
 	}
 	l.stream = nil
 }
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -92,16 +92,16 @@
 	a, err := peer.Listen("a", netip.MustParseAddrPort(freeAddress(t)), certificates(t, dir, "a", authority), scope)
 	c.Assert(err, qt.IsNil)
 	defer func() { _ = a.Close() }()
-	heard := make(chan int, 2)
+	received := make(chan int, 2)
 	b := open(t, "b", certificates(t, dir, "b", authority), func(n *node) {
-		peer.Handle(n.router, n.Transport, "note", func(_ peer.Sender, v note) { heard <- v.Number })
+		peer.Handle(n.router, n.Transport, "note", func(_ peer.Sender, v note) { received <- v.Number })
 	})
 	defer b.close()
 	c.Assert(peer.Send(a, b.Address(), "note", note{1}), qt.IsNil)
-	c.Assert(<-heard, qt.Equals, 1)
+	c.Assert(<-received, qt.Equals, 1)
 	a.Reconnect()
 	c.Assert(peer.Send(a, b.Address(), "note", note{2}), qt.IsNil)
-	c.Assert(<-heard, qt.Equals, 2)
+	c.Assert(<-received, qt.Equals, 2)
 	c.Assert(scope.Snapshot().Counters()["peer_connections+"].Value(), qt.Equals, int64(2))
 }
 
@@ -114,24 +114,24 @@
 	c.Assert(err, qt.IsNil)
 	scope := tally.NewTestScope("", nil)
 	type long struct{ Rows []string }
-	heard := make(chan long, 2)
-	hear := func(n *node) {
-		peer.Handle(n.router, n.Transport, "long", func(_ peer.Sender, v long) { heard <- v })
+	received := make(chan long, 2)
+	register := func(n *node) {
+		peer.Handle(n.router, n.Transport, "long", func(_ peer.Sender, v long) { received <- v })
 		peer.Answer(n.router, n.Transport, "again", func(_ context.Context, _ peer.Sender, v long) long { return v })
 	}
-	a := openIn(t, "a", certificates(t, dir, "a", authority), scope, hear)
+	a := openIn(t, "a", certificates(t, dir, "a", authority), scope, register)
 	defer a.close()
-	b := open(t, "b", certificates(t, dir, "b", authority), hear)
+	b := open(t, "b", certificates(t, dir, "b", authority), register)
 	defer b.close()
-	d := open(t, "d", certificates(t, dir, "d", authority), hear)
+	d := open(t, "d", certificates(t, dir, "d", authority), register)
 	defer d.close()
 	var v long
 	for n := range 2000 {
 		v.Rows = append(v.Rows, fmt.Sprintf("endpoint %d of a zone", n))
 	}
 	c.Assert(peer.SendAll(a.Transport, []netip.AddrPort{b.Address(), d.Address()}, "long", v), qt.Equals, 0)
-	c.Assert(<-heard, qt.DeepEquals, v)
-	c.Assert(<-heard, qt.DeepEquals, v)
+	c.Assert(<-received, qt.DeepEquals, v)
+	c.Assert(<-received, qt.DeepEquals, v)
 	reply, err := peer.Ask[long, long](t.Context(), a.Transport, b.Address(), "again", v)
 	c.Assert(err, qt.IsNil)
 	c.Assert(reply, qt.DeepEquals, v)
@@ -148,10 +148,10 @@
 	authority, err := cert.NewAuthority(dir)
 	c.Assert(err, qt.IsNil)
 	scope := tally.NewTestScope("", nil)
-	heard := make(chan int, 2)
+	received := make(chan int, 2)
 	open := func(name string) *node {
 		n := openIn(t, name, certificates(t, dir, name, authority), scope, func(n *node) {
-			peer.Handle(n.router, n.Transport, "note", func(_ peer.Sender, v note) { heard <- v.Number })
+			peer.Handle(n.router, n.Transport, "note", func(_ peer.Sender, v note) { received <- v.Number })
 			peer.Answer(n.router, n.Transport, "double", func(_ context.Context, _ peer.Sender, v note) note {
 				return note{Number: 2 * v.Number}
 			})
@@ -164,7 +164,7 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(reply.Number, qt.Equals, 42)
 	c.Assert(peer.Send(b.Transport, a.Address(), "note", note{1}), qt.IsNil)
-	c.Assert(<-heard, qt.Equals, 1)
+	c.Assert(<-received, qt.Equals, 1)
 	reply, err = peer.Ask[note, note](t.Context(), b.Transport, a.Address(), "double", note{Number: 4})
 	c.Assert(err, qt.IsNil)
 	c.Assert(reply.Number, qt.Equals, 8)
@@ -172,7 +172,7 @@
 
 	b.Reconnect() // the connection that a dialled may be dead
 	c.Assert(peer.Send(b.Transport, a.Address(), "note", note{2}), qt.IsNil)
-	c.Assert(<-heard, qt.Equals, 2)
+	c.Assert(<-received, qt.Equals, 2)
 	c.Assert(scope.Snapshot().Counters()["peer_connections+"].Value(), qt.Equals, int64(2))
 }
 
@@ -182,23 +182,23 @@
 	dir := t.TempDir()
 	authority, err := cert.NewAuthority(dir)
 	c.Assert(err, qt.IsNil)
-	heard := make(chan int, 2)
-	note2 := func(n *node) {
-		peer.Handle(n.router, n.Transport, "note", func(_ peer.Sender, v note) { heard <- v.Number })
+	received := make(chan int, 2)
+	register := func(n *node) {
+		peer.Handle(n.router, n.Transport, "note", func(_ peer.Sender, v note) { received <- v.Number })
 	}
-	a := open(t, "a", certificates(t, dir, "a", authority), note2)
+	a := open(t, "a", certificates(t, dir, "a", authority), register)
 	defer a.close()
-	b := open(t, "b", certificates(t, dir, "b", authority), note2)
+	b := open(t, "b", certificates(t, dir, "b", authority), register)
 	address := b.Address()
 	c.Assert(peer.Send(b.Transport, a.Address(), "note", note{1}), qt.IsNil)
-	c.Assert(<-heard, qt.Equals, 1)
+	c.Assert(<-received, qt.Equals, 1)
 	b.close()
-	b = openAt(t, "b", address, certificates(t, dir, "b", authority), tally.NoopScope, note2)
+	b = openAt(t, "b", address, certificates(t, dir, "b", authority), tally.NoopScope, register)
 	defer b.close()
 	for number := 2; ; number++ { // messages on the old connection are lost
 		c.Assert(peer.Send(a.Transport, address, "note", note{number}), qt.IsNil)
 		select {
-		case <-heard:
+		case <-received:
 			return
 		case <-time.After(50 * time.Millisecond):
 		}
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -75,11 +75,11 @@
 	if before := t.records[r.Work]; before != nil {
 		r.Cleared = before.Cleared
 	}
-	merged, news := t.mergeRecord(now, r)
-	if h := t.records[r.Work]; h != nil && news {
+	merged, changed := t.mergeRecord(now, r)
+	if h := t.records[r.Work]; h != nil && changed {
 		h.local = true
 	}
-	return merged, news
+	return merged, changed
 }
 
 // Completed records that the request ran to completion, which clears it. If the request
@@ -111,12 +111,12 @@
 		t.records[r.Work] = h
 	}
 	merged := merge(h.Record, r)
-	news := !merged.equal(h.Record)
+	changed := !merged.equal(h.Record)
 	if merged.Held() && !h.Held() {
 		h.heldSince, h.local = now, false
 	}
 	h.Record = merged
-	return merged, news
+	return merged, changed
 }
 
 func retention(r Record) time.Duration {
@@ -164,11 +164,11 @@
 // Saved merges a record that the store has. It returns the merged record and whether it
 // changed.
 func (t *Table) Saved(now clock.Millis, s Stored) (Record, bool) {
-	r, news := t.mergeRecord(now, s.Record)
+	r, changed := t.mergeRecord(now, s.Record)
 	if h := t.records[s.Work]; h != nil {
 		h.revision = max(h.revision, s.Revision)
 	}
-	return r, news
+	return r, changed
 }
 
 // Released handles the removal of a record from the store, by an operator or because the
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -81,29 +81,29 @@
 			tables[i] = quarantine.NewTable()
 		}
 		now := start
-		var told []quarantine.Record
+		var announced []quarantine.Record
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "pass")) * time.Millisecond)
 			i := rapid.IntRange(0, instances-1).Draw(t, "instance")
 			w := work(strconv.Itoa(rapid.IntRange(0, 2).Draw(t, "work")))
 			var r quarantine.Record
-			var news bool
+			var changed bool
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				r, news = tables[i].Completed(now, w)
+				r, changed = tables[i].Completed(now, w)
 			case 1:
-				if len(told) > 0 {
-					r, news = tables[i].Take(now, told[rapid.IntRange(0, len(told)-1).Draw(t, "which")])
+				if len(announced) > 0 {
+					r, changed = tables[i].Take(now, announced[rapid.IntRange(0, len(announced)-1).Draw(t, "which")])
 				}
 			default:
-				r, news = tables[i].RecordEnd(now, w, "e"+strconv.Itoa(rapid.IntRange(0, 5).Draw(t, "endpoint")))
+				r, changed = tables[i].RecordEnd(now, w, "e"+strconv.Itoa(rapid.IntRange(0, 5).Draw(t, "endpoint")))
 			}
-			if news {
-				told = append(told, r)
+			if changed {
+				announced = append(announced, r)
 			}
 		}
 		for i := range tables {
-			for _, n := range rapid.Permutation(told).Draw(t, "order") {
+			for _, n := range rapid.Permutation(announced).Draw(t, "order") {
 				tables[i].Take(now, n)
 			}
 		}
@@ -145,13 +145,13 @@
 	c.Assert(own.Missing(nil, 6), qt.HasLen, 0) // an older listing
 	c.Assert(own.Missing(nil, 9), qt.HasLen, 1)
 
-	_, news := own.Completed(start+10, work("w"))
-	c.Assert(news, qt.IsTrue)
+	_, changed := own.Completed(start+10, work("w"))
+	c.Assert(changed, qt.IsTrue)
 	c.Assert(own.Unneeded(), qt.DeepEquals, []quarantine.Release{{Work: r.Work, Revision: 7}})
-	_, news = other.Released(start+11, quarantine.Release{Work: r.Work, Revision: 6})
-	c.Assert(news, qt.IsFalse) // of an earlier record
-	_, news = other.Released(start+11, quarantine.Release{Work: r.Work, Revision: 8})
-	c.Assert(news, qt.IsTrue)
+	_, changed = other.Released(start+11, quarantine.Release{Work: r.Work, Revision: 6})
+	c.Assert(changed, qt.IsFalse) // of an earlier record
+	_, changed = other.Released(start+11, quarantine.Release{Work: r.Work, Revision: 8})
+	c.Assert(changed, qt.IsTrue)
 	c.Assert(other.Holds(work("w")), qt.IsFalse)
 	// After that, ends count from zero.
 	other.RecordEnd(start+20, work("w"), "c")
--- a/internal/suspects/suspects.go
+++ b/internal/suspects/suspects.go
@@ -137,9 +137,9 @@
 // Register adds the handlers for messages from other instances.
 func (s *Suspects) Register(r *message.Router) {
 	peer.Handle(r, s.Transport, topicRecords, func(_ peer.Sender, t recordsMessage) {
-		news := s.merge(t.Records)
+		updated := s.merge(t.Records)
 		if t.Relay {
-			s.send(s.zonePeers(), news, false)
+			s.send(s.zonePeers(), updated, false)
 		}
 	})
 	peer.Answer(r, s.Transport, topicCompare, func(_ context.Context, _ peer.Sender, q compareRequest) recordsMessage {
@@ -182,58 +182,58 @@
 // attributeEnds adds the collected ends to the records of their requests and announces
 // the records that changed.
 func (s *Suspects) attributeEnds() {
-	var fresh []quarantine.Record
+	var updated []quarantine.Record
 	s.mu.Lock()
 	ends := s.ends
 	s.ends = nil
 	for _, e := range quarantine.Blamed(ends) {
-		if r, news := s.table.Blame(s.Now(), e); news {
-			fresh = append(fresh, r)
+		if r, changed := s.table.Blame(s.Now(), e); changed {
+			updated = append(updated, r)
 		}
 	}
 	s.mu.Unlock()
-	s.announce(fresh)
+	s.announce(updated)
 }
 
 // Completed records that a request ran to completion. If it was suspected, other
 // instances are notified.
 func (s *Suspects) Completed(w quarantine.Work) {
 	s.mu.Lock()
-	r, news := s.table.Completed(s.Now(), w)
+	r, changed := s.table.Completed(s.Now(), w)
 	s.mu.Unlock()
-	if news {
+	if changed {
 		s.announce([]quarantine.Record{r})
 	}
 }
 
 // announce sends records to this zone, and to the relays of the other zones.
-func (s *Suspects) announce(fresh []quarantine.Record) {
-	if len(fresh) == 0 {
+func (s *Suspects) announce(updated []quarantine.Record) {
+	if len(updated) == 0 {
 		return
 	}
-	s.report(fresh)
-	s.send(s.zonePeers(), fresh, false)
-	s.send(s.remoteRelays(), fresh, true)
+	s.report(updated)
+	s.send(s.zonePeers(), updated, false)
+	s.send(s.remoteRelays(), updated, true)
 }
 
 // merge adds records from other instances to the table and returns those that changed it.
 func (s *Suspects) merge(list []quarantine.Record) []quarantine.Record {
-	var fresh []quarantine.Record
+	var updated []quarantine.Record
 	s.mu.Lock()
 	for _, r := range list {
-		if merged, news := s.table.Take(s.Now(), r); news {
-			fresh = append(fresh, merged)
+		if merged, changed := s.table.Take(s.Now(), r); changed {
+			updated = append(updated, merged)
 		}
 	}
 	s.mu.Unlock()
-	s.report(fresh)
-	return fresh
+	s.report(updated)
+	return updated
 }
 
 // TakeStored applies an update from the store. Changes are sent to the zone, because
 // only some of its instances watch the store.
 func (s *Suspects) TakeStored(n News) {
-	var fresh []quarantine.Record
+	var updated []quarantine.Record
 	s.mu.Lock()
 	now := s.Now()
 	released := n.Released
@@ -241,21 +241,21 @@
 		released = append(released, s.table.Missing(n.Records, n.Revision)...)
 	}
 	for _, stored := range n.Records {
-		if r, news := s.table.Saved(now, stored); news {
-			fresh = append(fresh, r)
+		if r, changed := s.table.Saved(now, stored); changed {
+			updated = append(updated, r)
 		}
 	}
 	for _, l := range released {
-		if r, news := s.table.Released(now, l); news {
-			fresh = append(fresh, r)
+		if r, changed := s.table.Released(now, l); changed {
+			updated = append(updated, r)
 		}
 	}
 	s.mu.Unlock()
 	for _, err := range n.Problems {
 		s.Unreadable(err, n.Revision)
 	}
-	s.report(fresh)
-	s.send(s.zonePeers(), fresh, false)
+	s.report(updated)
+	s.send(s.zonePeers(), updated, false)
 }
 
 // Run compares records with other instances and updates the store until ctx ends.
@@ -299,9 +299,9 @@
 	if !answer.Differs {
 		return
 	}
-	news := s.merge(answer.Records)
+	updated := s.merge(answer.Records)
 	if s.Watching() {
-		s.send(s.zonePeers(), news, false)
+		s.send(s.zonePeers(), updated, false)
 	}
 	theirs := map[quarantine.Fingerprint]bool{}
 	for _, r := range answer.Records {
@@ -381,15 +381,15 @@
 // report reports requests that became held or were released, and updates the gauges.
 // Requests that are only suspected are not reported one by one: if a zone is partitioned,
 // every request that runs in the other zones becomes suspected.
-func (s *Suspects) report(fresh []quarantine.Record) {
-	if len(fresh) == 0 {
+func (s *Suspects) report(updated []quarantine.Record) {
+	if len(updated) == 0 {
 		return
 	}
 	s.mu.Lock()
 	held, suspected := s.table.Count()
 	s.anyHeld.Store(held > 0)
 	s.mu.Unlock()
-	for _, r := range fresh {
+	for _, r := range updated {
 		if r.Held() || len(r.Ended) == 0 {
 			s.Held(r)
 		}
--- a/internal/suspects/suspects_test.go
+++ b/internal/suspects/suspects_test.go
@@ -79,11 +79,11 @@
 func (s *store) listing() suspects.News {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	news := suspects.News{Complete: true, Revision: s.rev}
+	update := suspects.News{Complete: true, Revision: s.rev}
 	for _, r := range s.records {
-		news.Records = append(news.Records, r)
+		update.Records = append(update.Records, r)
 	}
-	return news
+	return update
 }
 
 // fleet runs instances of two zones that share a store.
@@ -191,7 +191,7 @@
 
 // Two instances of different zones observe one end each. All instances hold the request,
 // and its record is saved.
-func TestEndsAreAddedUp(t *testing.T) {
+func TestEndsInTwoZones(t *testing.T) {
 	f := newFleet(t)
 	f.nodes["a3"].Ended(poison, "e1")
 	f.nodes["b3"].Ended(poison, "e2")
@@ -201,7 +201,7 @@
 
 // A zone learns of a request while it is partitioned. Once the partition heals, the other
 // zones learn of it, even if the store is unavailable all the time.
-func TestCutZoneTellsLater(t *testing.T) {
+func TestPartitionedZone(t *testing.T) {
 	f := newFleet(t)
 	f.store.setUnavailable(true)
 	f.isolate("a")
