--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -24,7 +24,7 @@
 	})
 }
 
-// logHeld logs that a request became held or was cleared.
+// logHeld logs that a request is held or was cleared.
 func (g *Gateway) logHeld(r quarantine.Record) {
 	n := eventlog.Line{Event: eventlog.Believed, Work: r.Work.String(), Count: int64(len(r.Ended)), Outcome: "request_cleared"}
 	if r.Held() {
--- a/internal/suspects/suspects.go
+++ b/internal/suspects/suspects.go
@@ -91,7 +91,7 @@
 	Peers func() []Peer
 	// Watching reports whether this instance watches the store for its zone.
 	Watching func() bool
-	// Held is called when a request becomes held or is released.
+	// Held is called for each changed record of a request that is held or was cleared.
 	Held func(r quarantine.Record)
 	// Unreadable is called for each record of the store that cannot be decoded.
 	Unreadable func(err error, revision int64)
@@ -378,9 +378,9 @@
 	return true
 }
 
-// report reports requests that became held or were released, and updates the gauges.
-// Requests that are only suspected are not reported one by one: if a zone is partitioned,
-// every request that runs in the other zones becomes suspected.
+// report passes changed records of held and cleared requests to Held, and updates the
+// gauges. Requests that are only suspected are not reported one by one: if a zone is
+// partitioned, every request that runs in the other zones becomes suspected.
 func (s *Suspects) report(updated []quarantine.Record) {
 	if len(updated) == 0 {
 		return
