--- a/internal/forward/area.go
+++ b/internal/forward/area.go
@@ -5,14 +5,14 @@
 	"github.com/trailshed/trailshed/internal/residency"
 )
 
-// The reasons of a request that no zone may serve.
+// Reasons for refusing a request that no zone may serve.
 const (
 	zonesEvacuated   = "zones_evacuated"
 	regionNotAllowed = "region_not_allowed"
 )
 
-// area is where the request may be served now.
-func (p *passage) area() residency.Area {
+// allowedArea returns the zones where the request may be served now.
+func (p *proxyRequest) allowedArea() residency.Area {
 	var workspace []string
 	if p.workspace != nil {
 		workspace = p.workspace.Regions
@@ -20,10 +20,10 @@
 	return residency.New(p.Regions, p.Directory.View().Evacuated, p.route.Regions, workspace)
 }
 
-// withoutEndpoint is why no endpoint may serve the request: all are in zones to which it
-// may not go, or there is none.
-func (p *passage) withoutEndpoint() string {
-	area, reason := p.area(), "no_endpoint"
+// noEndpointReason returns why no endpoint may serve the request: either there is none, or
+// all of them are in zones to which the request may not go.
+func (p *proxyRequest) noEndpointReason() string {
+	area, reason := p.allowedArea(), "no_endpoint"
 	for e := range p.view.Service(p.service) {
 		switch {
 		case !area.Resident(e.Zone):
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -17,112 +17,113 @@
 	"github.com/trailshed/trailshed/internal/uplink"
 )
 
-// spare is an endpoint's whole answer in memory.
-type spare struct {
+// bufferedResponse is an endpoint's complete response, held in memory.
+type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
 const (
-	// wholeAnswer is the size up to which an answer is taken whole before any
-	// of it is passed on, so that a broken one can be replaced.
-	wholeAnswer = 256 << 10
-	// smallAnswer bounds, in bytes, what is taken whole without memory set apart for it.
-	smallAnswer = 4 << 10
-	// restRepeatable and restOnce bound the idle time of kept connections: an
-	// endpoint may close one at any moment, and a request that may run only
-	// once is lost if that crosses it.
-	restRepeatable = 3 * time.Second
-	restOnce       = 400 * time.Millisecond
+	// maxBufferedBytes is the size up to which a response is read completely before any of
+	// it is passed on, so that a broken one can be replaced.
+	maxBufferedBytes = 256 << 10
+	// maxUnreservedBytes bounds the response that is buffered without reserving memory for
+	// it.
+	maxUnreservedBytes = 4 << 10
+	// repeatableMaxIdle and onceMaxIdle bound the idle time of a reused connection. An
+	// endpoint may close an idle connection at any moment, and a request that may run only
+	// once is lost if it crosses the close.
+	repeatableMaxIdle = 3 * time.Second
+	onceMaxIdle       = 400 * time.Millisecond
 )
 
-// attempt makes one send. It returns true when the request is answered.
-func (p *passage) attempt(parent context.Context, r *balance.Reservation) (done bool) {
+// attempt sends the request once. It returns true when the caller has been answered.
+func (p *proxyRequest) attempt(parent context.Context, r *balance.Reservation) (done bool) {
 	ctx, cancel := context.WithCancel(parent)
 	defer cancel()
 	silence := p.watchSilence(parent, cancel, r.Endpoint.ID)
 	defer func() {
-		p.next = silence.stop()
-		if done && p.next != nil {
-			p.takeMove().drop()
+		p.alternative = silence.stop()
+		if done && p.alternative != nil {
+			p.takeAlternative().release()
 		}
 	}()
 	sent := p.Now()
-	exchange, answer, err := p.send(ctx, r)
+	exchange, head, err := p.send(ctx, r)
 	if err != nil {
 		p.sendFailed(parent, r, err)
 		return false
 	}
-	if answer.HasLoad {
-		r.Told(p.Now(), answer.Load)
-		if p.place != nil && !answer.NotRun {
-			p.BeganAtPlace(p.place, answer.Load.Running)
+	if head.HasLoad {
+		r.Told(p.Now(), head.Load)
+		if p.place != nil && !head.NotRun {
+			p.BeganAtPlace(p.place, head.Load.Running)
 		}
 	}
-	silence.heard()
-	if answer.Signed && exchange.Response.StatusCode < http.StatusMultipleChoices {
-		p.heardNoLimit(r.Endpoint, answer, sent)
+	silence.reset()
+	if head.Signed && exchange.Response.StatusCode < http.StatusMultipleChoices {
+		p.reportNoLimit(r.Endpoint, head, sent)
 	}
-	if answer.NotRun {
+	if head.NotRun {
 		p.runs--
-		exchange.Close(p.drainSmall(exchange))
-		p.rejected(r, answer)
+		exchange.Close(p.drainBody(exchange))
+		p.endpointRejected(r, head)
 		return false
 	}
-	if answer.Streamed && exchange.Response.StatusCode < http.StatusMultipleChoices {
-		return p.stream(parent, r, exchange, answer, silence)
+	if head.Streamed && exchange.Response.StatusCode < http.StatusMultipleChoices {
+		return p.forwardStream(parent, r, exchange, head, silence)
 	}
-	return p.plain(parent, r, exchange, answer, silence)
+	return p.forwardPlain(parent, r, exchange, head, silence)
 }
 
-func (p *passage) send(ctx context.Context, r *balance.Reservation) (*uplink.Exchange, Answer, error) {
+func (p *proxyRequest) send(ctx context.Context, r *balance.Reservation) (*uplink.Exchange, Answer, error) {
 	m := p.message
 	m.To, m.Life = r.Endpoint.Address, r.Endpoint.ID
-	m.Rest = restOnce
+	m.Rest = onceMaxIdle
 	if p.route.Kind == route.Idempotent {
-		m.Rest = restRepeatable
+		m.Rest = repeatableMaxIdle
 	}
 	m.Header = p.Dialect.Encode(p.call, Send{
-		Endpoint: r.Endpoint, Wait: max(p.left(), 0), LastEvent: p.last, Priority: p.priority(), Workspace: p.workspaceName(),
+		Endpoint: r.Endpoint, Wait: max(p.left(), 0), LastEvent: p.lastEventID, Priority: p.priority(), Workspace: p.workspaceName(),
 		PrefillAt: p.prefill.handle,
 	})
-	p.noteAgain()
-	p.beginSeen()
+	p.logResend()
+	p.startTiming()
 	p.sends++
 	p.runs++
-	n := p.line(eventlog.Sent, "", nil)
+	n := p.logLine(eventlog.Sent, "", nil)
 	n.Endpoint, n.Address, n.Revision = r.Endpoint.ID, r.Endpoint.Address.String(), p.view.Revision
 	p.trail.Write(n)
-	var answer Answer
+	var head Answer
 	exchange, err := p.Pool.Do(ctx, m, func(resp *http.Response) bool {
-		answer = p.Dialect.Read(resp)
-		return answer.ID == p.call.ID
+		head = p.Dialect.Read(resp)
+		return head.ID == p.call.ID
 	})
 	if errors.Is(err, uplink.ErrNotSent) {
 		p.sends--
 		p.runs--
 	}
-	p.noteHandle(answer, err)
-	return exchange, answer, err
+	p.updateHandle(head, err)
+	return exchange, head, err
 }
 
-// noteAgain notes why a request is sent again, or from which event on.
-func (p *passage) noteAgain() {
+// logResend logs why a request is sent again, or after which event a stream resumes.
+func (p *proxyRequest) logResend() {
 	switch {
 	case p.headSent:
-		n := p.line(eventlog.Resumed, p.failure, nil)
-		n.Detail = "after event " + p.last
+		n := p.logLine(eventlog.Resumed, p.failure, nil)
+		n.Detail = "after event " + p.lastEventID
 		p.trail.Write(n)
 		p.Scope.Counter("streams_resumed").Inc(1)
 	case p.sends > 0:
-		p.trail.Write(p.line(eventlog.Repeated, p.failure, nil))
+		p.trail.Write(p.logLine(eventlog.Repeated, p.failure, nil))
 		p.Scope.Tagged(map[string]string{"reason": p.failure}).Counter("sends_repeated").Inc(1)
 	}
 }
 
-// sendFailed judges a send that brought no answer.
-func (p *passage) sendFailed(parent context.Context, r *balance.Reservation, err error) {
+// sendFailed classifies a send that brought no response and reports it to the balancer.
+func (p *proxyRequest) sendFailed(parent context.Context, r *balance.Reservation, err error) {
 	result := balance.Failed
 	p.failure = "no_answer"
 	switch {
@@ -137,14 +138,14 @@
 	}
 	p.endpointFailed(r, result, err)
 	if result == balance.Failed {
-		p.runCut(parent, r.Endpoint)
+		p.checkProcessEnded(parent, r.Endpoint)
 	}
 }
 
-func (p *passage) endpointFailed(r *balance.Reservation, result balance.Result, err error) {
+func (p *proxyRequest) endpointFailed(r *balance.Reservation, result balance.Result, err error) {
 	p.tried = append(p.tried, r.Endpoint.ID)
 	ejected := r.Done(p.Now(), result)
-	n := p.line(eventlog.EndpointFailed, p.failure, err)
+	n := p.logLine(eventlog.EndpointFailed, p.failure, err)
 	n.Endpoint, n.Address = r.Endpoint.ID, r.Endpoint.Address.String()
 	p.trail.Write(n)
 	if ejected > 0 {
@@ -153,11 +154,11 @@
 	}
 }
 
-// rejected takes an endpoint's answer that it did not run the request.
-func (p *passage) rejected(r *balance.Reservation, a Answer) {
+// endpointRejected handles a response that says that the endpoint did not run the request.
+func (p *proxyRequest) endpointRejected(r *balance.Reservation, head Answer) {
 	p.failure = "endpoints_full"
-	p.full = r.Endpoint.ID
-	if a.Other {
+	p.fullEngine = r.Endpoint.ID
+	if head.Other {
 		p.failure = "address_reused"
 		p.Gone(r.Endpoint.ID)
 	}
@@ -167,22 +168,22 @@
 	}
 }
 
-// plain takes an answer that is no stream.
-func (p *passage) plain(parent context.Context, r *balance.Reservation, x *uplink.Exchange, a Answer, s *silence) bool {
+// forwardPlain forwards a response that is not a stream.
+func (p *proxyRequest) forwardPlain(parent context.Context, r *balance.Reservation, x *uplink.Exchange, head Answer, silence *silenceWatch) bool {
 	resp := x.Response
 	header := p.Dialect.Passed(resp.Header)
 	good := resp.StatusCode < http.StatusMultipleChoices
-	most := wholeAnswer
-	if good && resp.ContentLength > smallAnswer && !p.hold(min(resp.ContentLength, wholeAnswer)) {
-		most = smallAnswer // passed on as it comes, for lack of memory
+	limit := maxBufferedBytes
+	if good && resp.ContentLength > maxUnreservedBytes && !p.reserveMemory(min(resp.ContentLength, maxBufferedBytes)) {
+		limit = maxUnreservedBytes // no memory to buffer it: pass it on as it arrives
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, int64(most)+1))
-	if err == nil && good && (!a.Signed || a.Encoded) {
-		err = Error.New("the answer is not the endpoint's own")
+	body, err := io.ReadAll(io.LimitReader(resp.Body, int64(limit)+1))
+	if err == nil && good && (!head.Signed || head.Encoded) {
+		err = Error.New("the response is unsigned or was re-encoded on the way")
 	}
-	if err == nil && len(body) > most {
-		s.hold() // it has begun, so it cannot move
-		return p.passLong(parent, r, x, header, body)
+	if err == nil && len(body) > limit {
+		silence.suspend() // the response is being passed on, so no failover any more
+		return p.copyResponse(parent, r, x, header, body)
 	}
 	if err != nil {
 		x.Close(false)
@@ -191,64 +192,65 @@
 	}
 	x.Close(true)
 	p.Suspects.Completed(p.work())
-	answer := &spare{status: resp.StatusCode, header: header, body: body}
+	response := &bufferedResponse{status: resp.StatusCode, header: header, body: body}
 	if resp.StatusCode >= http.StatusInternalServerError {
 		p.failure = "endpoint_status"
-		p.spare = answer
+		p.fallback = response
 		p.endpointFailed(r, balance.Failed, nil)
 		return false
 	}
 	r.Done(p.Now(), balance.Good)
-	p.pass(answer)
+	p.writeBuffered(response)
 	return true
 }
 
-// pass gives the caller a whole answer.
-func (p *passage) pass(s *spare) {
+// writeBuffered sends a buffered response to the caller.
+func (p *proxyRequest) writeBuffered(b *bufferedResponse) {
 	if p.headSent {
 		p.failure = "answer_after_events"
-		p.spare = nil
+		p.fallback = nil
 		p.giveUp()
 		return
 	}
-	copyHeader(p.w.Header(), s.header)
-	p.w.Header().Set("Content-Length", strconv.Itoa(len(s.body)))
-	p.w.WriteHeader(s.status)
-	_, err := p.w.Write(s.body)
-	p.answered(s.status, err)
+	copyHeader(p.w.Header(), b.header)
+	p.w.Header().Set("Content-Length", strconv.Itoa(len(b.body)))
+	p.w.WriteHeader(b.status)
+	_, err := p.w.Write(b.body)
+	p.recordAnswer(b.status, err)
 }
 
-// passLong passes on an answer that is too long to take whole first.
-func (p *passage) passLong(parent context.Context, r *balance.Reservation, x *uplink.Exchange, header http.Header, begin []byte) bool {
+// copyResponse passes on a response that is too long to buffer, starting with the bytes
+// already read.
+func (p *proxyRequest) copyResponse(parent context.Context, r *balance.Reservation, x *uplink.Exchange, header http.Header, start []byte) bool {
 	copyHeader(p.w.Header(), header)
 	if x.Response.ContentLength >= 0 {
 		p.w.Header().Set("Content-Length", strconv.FormatInt(x.Response.ContentLength, 10))
 	}
 	p.w.WriteHeader(x.Response.StatusCode)
 	p.headSent = true
-	_, err := io.Copy(p.w, io.MultiReader(bytes.NewReader(begin), x.Response.Body))
+	_, err := io.Copy(p.w, io.MultiReader(bytes.NewReader(start), x.Response.Body))
 	x.Close(err == nil)
 	if err != nil {
 		r.Done(p.Now(), balance.Failed)
 		p.failure = "answer_cut"
-		p.runCut(parent, r.Endpoint)
+		p.checkProcessEnded(parent, r.Endpoint)
 		p.giveUp()
 	}
 	p.Suspects.Completed(p.work())
 	r.Done(p.Now(), balance.Good)
-	p.answered(x.Response.StatusCode, nil)
+	p.recordAnswer(x.Response.StatusCode, nil)
 	return true
 }
 
-// answered notes an answer that was passed on whole, unless err says that the
-// caller did not take it.
-func (p *passage) answered(status int, err error) {
+// recordAnswer logs and counts a response that was passed on completely. A non-nil err
+// means that the caller did not take it.
+func (p *proxyRequest) recordAnswer(status int, err error) {
 	took := p.Now().Sub(p.arrived)
 	if p.firstEvent > 0 {
 		took = p.firstEvent
 	}
 	p.inTime = err == nil && status < http.StatusMultipleChoices && took <= p.route.Target
-	n := p.line(eventlog.Answered, "", err)
+	n := p.logLine(eventlog.Answered, "", err)
 	n.Status = status
 	n.First, n.Predicted = p.firstEvent, p.predicted
 	n.Outcome = "late"
@@ -261,12 +263,12 @@
 	p.Scope.Histogram("answer_seconds", latencyBuckets).RecordDuration(p.Now().Sub(p.arrived))
 }
 
-// latencyBuckets cover answers from 5 ms to 20 s.
+// latencyBuckets cover latencies from 5 ms to 20 s.
 var latencyBuckets = tally.MustMakeExponentialDurationBuckets(5*time.Millisecond, 2, 13)
 
-// drainSmall reads a short body to its end, so that the connection can be kept.
-func (p *passage) drainSmall(x *uplink.Exchange) bool {
-	_, err := io.Copy(io.Discard, io.LimitReader(x.Response.Body, wholeAnswer))
+// drainBody reads a short body to its end, so that the connection can be reused.
+func (p *proxyRequest) drainBody(x *uplink.Exchange) bool {
+	_, err := io.Copy(io.Discard, io.LimitReader(x.Response.Body, maxBufferedBytes))
 	return err == nil
 }
 
--- a/internal/forward/body.go
+++ b/internal/forward/body.go
@@ -9,46 +9,46 @@
 	"github.com/trailshed/trailshed/internal/eventlog"
 )
 
-// readBody takes the body into memory, as it may have to be sent again.
-func (p *passage) readBody(r *http.Request) bool {
+// readBody reads the body into memory, since it may have to be sent again.
+func (p *proxyRequest) readBody(r *http.Request) bool {
 	p.message.HasBody = r.ContentLength != 0
 	if !p.message.HasBody {
 		return true
 	}
-	// A connection that is closed has no deadline to set; reading tells that it is.
+	// Setting a deadline fails on a closed connection; the read reports that.
 	_ = p.w.control.SetReadDeadline(time.Now().Add(p.left()))
-	defer func() { _ = p.w.control.SetReadDeadline(time.Time{}) }() // it would end the watch for the caller's leaving
-	most := p.view.Table.Limits.BodyBytes
-	if r.ContentLength > most {
-		p.reject(http.StatusRequestEntityTooLarge, "body_too_large", Error.New("the body is over %d bytes", most))
+	defer func() { _ = p.w.control.SetReadDeadline(time.Time{}) }() // a deadline would also end the server's detection of a caller that disconnects
+	limit := p.view.Table.Limits.BodyBytes
+	if r.ContentLength > limit {
+		p.reject(http.StatusRequestEntityTooLarge, "body_too_large", Error.New("the body exceeds %d bytes", limit))
 		return false
 	}
 	var err error
 	switch {
-	case !p.hold(max(r.ContentLength, 0)):
-		err = errMemory
+	case !p.reserveMemory(max(r.ContentLength, 0)):
+		err = errMemoryFull
 	case r.ContentLength > 0:
 		p.message.Body = make([]byte, r.ContentLength)
 		_, err = io.ReadFull(r.Body, p.message.Body)
 		if err == nil {
-			_, err = r.Body.Read(make([]byte, 1)) // see the end, so that the server watches for the caller's leaving
+			_, err = r.Body.Read(make([]byte, 1)) // read EOF: only then does the server detect a caller that disconnects
 			if errors.Is(err, io.EOF) {
 				err = nil
 			}
 		}
 	default:
-		p.message.Body, err = io.ReadAll(held{io.LimitReader(r.Body, most+1), p})
+		p.message.Body, err = io.ReadAll(memoryReader{io.LimitReader(r.Body, limit+1), p})
 	}
-	if errors.Is(err, errMemory) {
-		p.refuse("body_memory_full", comeBackBusy)
+	if errors.Is(err, errMemoryFull) {
+		p.refuse("body_memory_full", retryAfterBusy)
 		return false
 	}
 	if err != nil {
-		p.trail.Write(p.line(eventlog.Cancelled, "body_unfinished", err))
+		p.trail.Write(p.logLine(eventlog.Cancelled, "body_unfinished", err))
 		panic(http.ErrAbortHandler)
 	}
-	if int64(len(p.message.Body)) > most {
-		p.reject(http.StatusRequestEntityTooLarge, "body_too_large", Error.New("the body is over %d bytes", most))
+	if int64(len(p.message.Body)) > limit {
+		p.reject(http.StatusRequestEntityTooLarge, "body_too_large", Error.New("the body exceeds %d bytes", limit))
 		return false
 	}
 	return true
--- a/internal/forward/dialect.go
+++ b/internal/forward/dialect.go
@@ -1,6 +1,6 @@
-// Package forward takes a caller's request to an endpoint and the answer back:
-// it matches the route, picks endpoints, keeps to deadlines, attempts and the
-// retry budget, resumes streams, and says truthfully whether a request ran.
+// Package forward proxies callers' requests to endpoints: it matches the route, selects
+// endpoints, enforces deadlines, the number of attempts and the retry budget, resumes
+// streams, and reports whether a request that failed may have run.
 package forward
 
 import (
@@ -14,66 +14,66 @@
 	"github.com/trailshed/trailshed/internal/route"
 )
 
-// Call is a caller's request, decoded.
+// Call is a caller's decoded request.
 type Call struct {
 	ID        string
-	Wait      time.Duration // how long the caller waits; 0 if it does not say
-	Prompt    int           // tokens of the prompt; 0 if it does not say
-	Output    int           // most tokens of the answer
-	Hint      int           // tokens of the answer that the caller expects; 0 if it does not say
-	Counted   bool          // it tells Prompt and Output
-	Key       route.Key     // what the caller names itself by, if HasKey
+	Wait      time.Duration // how long the caller waits; 0 if not given
+	Prompt    int           // tokens of the prompt; 0 if not given
+	Output    int           // maximum tokens of the answer
+	Hint      int           // tokens of the answer that the caller expects; 0 if not given
+	Counted   bool          // the caller gave Prompt and Output
+	Key       route.Key     // digest of the caller's API key, if HasKey
 	HasKey    bool
-	LastEvent string      // the stream goes on after this event
-	Header    http.Header // what goes to endpoints besides what Send adds
+	LastEvent string      // ID of the event after which the stream resumes
+	Header    http.Header // forwarded to endpoints, in addition to the headers of a Send
 }
 
-// Send is what one send to an endpoint adds to the caller's request.
+// Send holds what is specific to one send of a request to an endpoint.
 type Send struct {
-	Endpoint  *directory.Endpoint // every other endpoint must turn it away
+	Endpoint  *directory.Endpoint // only this endpoint may accept the request
 	Wait      time.Duration       // how long the endpoint may work
 	LastEvent string
-	Priority  int    // 0 is the most urgent
-	Workspace string // whose request it is; empty if that is not known
-	PrefillAt *Handle
-	Stage     directory.Stage // Prefill: compute the KV cache only
+	Priority  int             // 0 is the most urgent
+	Workspace string          // empty if unknown
+	PrefillAt *Handle         // KV cache that the endpoint fetches; may be nil
+	Stage     directory.Stage // Prefill: only compute the KV cache
 }
 
-// Handle names the KV cache of a prompt that an endpoint keeps.
+// Handle identifies the KV cache of a prompt that an endpoint keeps.
 type Handle struct {
 	At   netip.AddrPort
-	Life string // id of the endpoint there
-	Zone string // of that endpoint
+	Life string // ID of the endpoint at that address
+	Zone string // of the endpoint
 	ID   string
 }
 
-// Answer is what the head of an endpoint's answer tells.
+// Answer holds what the header of an endpoint's response says.
 type Answer struct {
-	ID       string // of the request that it answers
-	Signed   bool   // it carries the endpoint's signature
+	ID       string // of the request that the response belongs to
+	Signed   bool   // the response carries the endpoint's signature
 	NotRun   bool   // the endpoint did not run the request
-	Other    bool   // another endpoint has this address
+	Other    bool   // another endpoint has the address now
 	Load     balance.Load
 	HasLoad  bool
-	Encoded  bool // the body is not the endpoint's own
-	Streamed bool // the body is a series of events
-	Limited  bool // it names how many requests a second the endpoint takes
+	Encoded  bool // the body was re-encoded on the way
+	Streamed bool // the body is an event stream
+	Limited  bool // the endpoint states how many requests per second it accepts
 }
 
-// Dialect translates between the types above and headers.
+// Dialect maps the types above to and from HTTP headers.
 type Dialect struct {
-	// Decode reads a caller's request; its error is told to the caller.
+	// Decode parses a caller's request; its error is returned to the caller.
 	Decode func(*http.Request) (Call, error)
-	// Encode makes the header of one send.
+	// Encode returns the header of one send.
 	Encode func(Call, Send) http.Header
-	// Read reads the head of an endpoint's answer.
+	// Read parses the header of an endpoint's response.
 	Read func(*http.Response) Answer
-	// Notice reads what the endpoint says of itself in the head of an answer.
+	// Notice parses what the endpoint says of itself in the header of a response.
 	Notice func(*http.Response) notice.Notice
-	// Handle reads the body of an answer to a prefill: the id of the KV cache.
+	// Handle parses the body of a prefill's response: the ID of the KV cache.
 	Handle func([]byte) (string, error)
-	// Free makes the request that frees a KV cache.
+	// Free returns the method and target of the request that frees a KV cache.
 	Free func(Handle) (method, target string)
-	// Passed returns what of an answer's header goes to the caller.
+	// Passed returns the part of a response header that goes to the caller.
 	Passed func(http.Header) http.Header
 }
--- a/internal/forward/ending.go
+++ b/internal/forward/ending.go
@@ -10,26 +10,26 @@
 	"github.com/trailshed/trailshed/internal/eventlog"
 )
 
-// Waits that refusals tell callers to come back after.
+// Values of Retry-After in refusals.
 const (
-	// comeBackStarting: a configuration arrives within a few store calls.
-	comeBackStarting = 300 * time.Millisecond
-	// comeBackElsewhere: a new connection leads to another instance at once.
-	comeBackElsewhere = 20 * time.Millisecond
-	// comeBackUnreachable: an endpoint that cannot be reached is tried again
-	// after a second at the most.
-	comeBackUnreachable = 500 * time.Millisecond
-	// comeBackBusy: about one request's time at an endpoint.
-	comeBackBusy = 200 * time.Millisecond
-	// comeBackHeld: a request that ends endpoints is not run before somebody has
-	// looked into it, which is longer than any caller waits.
-	comeBackHeld = time.Minute
+	// retryAfterStarting: the configuration arrives within a few store calls.
+	retryAfterStarting = 300 * time.Millisecond
+	// retryAfterElsewhere: a new connection leads to another instance at once.
+	retryAfterElsewhere = 20 * time.Millisecond
+	// retryAfterUnreachable: an unreachable endpoint is tried again after one second at
+	// most.
+	retryAfterUnreachable = 500 * time.Millisecond
+	// retryAfterBusy: about the time of one request at an endpoint.
+	retryAfterBusy = 200 * time.Millisecond
+	// retryAfterQuarantined: a request that crashes endpoints does not run again before an
+	// operator has looked into it, which takes longer than any caller waits.
+	retryAfterQuarantined = time.Minute
 )
 
-// ended answers a request whose time is over or whose caller has left.
-func (p *passage) ended(ctx context.Context) {
+// contextEnded ends a request whose deadline has passed or whose caller has disconnected.
+func (p *proxyRequest) contextEnded(ctx context.Context) {
 	if !errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
-		p.trail.Write(p.line(eventlog.Cancelled, "caller_left", nil))
+		p.trail.Write(p.logLine(eventlog.Cancelled, "caller_left", nil))
 		p.Scope.Counter("requests_cancelled").Inc(1)
 		return
 	}
@@ -37,32 +37,32 @@
 	p.giveUp()
 }
 
-// giveUp ends a request that will not be sent again.
-func (p *passage) giveUp() {
+// giveUp ends a request that will not be sent again, with the best response still possible.
+func (p *proxyRequest) giveUp() {
 	switch {
 	case p.headSent:
-		p.trail.Write(p.line(eventlog.Broken, p.failure, nil))
+		p.trail.Write(p.logLine(eventlog.Broken, p.failure, nil))
 		p.Scope.Counter("requests_broken").Inc(1)
 		panic(http.ErrAbortHandler)
-	case p.spare != nil:
-		p.pass(p.spare)
-	case p.runs > 0 && p.left() < leastLeft:
+	case p.fallback != nil:
+		p.writeBuffered(p.fallback)
+	case p.runs > 0 && p.left() < minTimeLeft:
 		p.fail(http.StatusGatewayTimeout)
 	case p.runs > 0:
 		p.fail(http.StatusBadGateway)
 	default:
-		p.refuse(p.failure, max(p.comeBack, comeBackBusy))
+		p.refuse(p.failure, max(p.retryAfter, retryAfterBusy))
 	}
 }
 
-// refuse tells the caller that the request did not run and when to come back.
-func (p *passage) refuse(reason string, after time.Duration) {
+// refuse tells the caller that the request did not run and when to retry.
+func (p *proxyRequest) refuse(reason string, after time.Duration) {
 	p.failure = reason
-	p.refuseWith(http.StatusServiceUnavailable, after, p.line(eventlog.Refused, reason, nil))
+	p.refuseWith(http.StatusServiceUnavailable, after, p.logLine(eventlog.Refused, reason, nil))
 }
 
-// refuseWith is refuse with a status and a line that tells more.
-func (p *passage) refuseWith(status int, after time.Duration, n eventlog.Line) {
+// refuseWith is refuse with a given status and log line.
+func (p *proxyRequest) refuseWith(status int, after time.Duration, n eventlog.Line) {
 	n.Status, n.Wait = status, after
 	p.trail.Write(n)
 	p.Scope.Counter("requests_refused").Inc(1)
@@ -72,8 +72,8 @@
 }
 
 // fail tells the caller that the request may have run.
-func (p *passage) fail(status int) {
-	n := p.line(eventlog.GaveUp, p.failure, nil)
+func (p *proxyRequest) fail(status int) {
+	n := p.logLine(eventlog.GaveUp, p.failure, nil)
 	n.Status = status
 	p.trail.Write(n)
 	p.Scope.Counter("requests_failed").Inc(1)
@@ -82,16 +82,16 @@
 }
 
 // reject tells the caller what is wrong with the request.
-func (p *passage) reject(status int, reason string, err error) {
-	n := p.line(eventlog.Refused, reason, err)
+func (p *proxyRequest) reject(status int, reason string, err error) {
+	n := p.logLine(eventlog.Refused, reason, err)
 	n.Status = status
 	p.trail.Write(n)
 	p.Scope.Counter("requests_rejected").Inc(1)
 	http.Error(p.w, err.Error(), status)
 }
 
-// line begins a log line of this request.
-func (p *passage) line(e eventlog.Event, reason string, err error) eventlog.Line {
+// logLine returns a log line with the fields of this request.
+func (p *proxyRequest) logLine(e eventlog.Event, reason string, err error) eventlog.Line {
 	n := eventlog.Line{
 		Event: e, Request: p.call.ID, Attempt: p.sends, Reason: reason,
 		Service: p.service, Workspace: p.workspaceName(), Took: p.Now().Sub(p.arrived),
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -26,7 +26,7 @@
 // Error marks every error of this package.
 var Error = errs.Class("forward")
 
-// Options are what a Forwarder works with.
+// Options configure a Forwarder.
 type Options struct {
 	Dialect   Dialect
 	Directory *directory.Directory
@@ -35,77 +35,78 @@
 	Log       *eventlog.Log
 	Scope     tally.Scope
 	Now       func() clock.Millis
-	// Retry is the allowance of all instances together.
+	// Retry is the retry budget shared by all instances.
 	Retry  budget.Rule
 	Limits Limiter
-	// Permits keep all instances to what endpoints take.
+	// Permits keep all instances together within the rate limits of endpoints.
 	Permits Permits
-	// BodyMemory bounds the bytes of all bodies held at once.
+	// BodyMemory bounds the bytes of all bodies held in memory at once.
 	BodyMemory int64
-	// Stall is how long a caller may leave an answer unread.
+	// Stall is the longest time that one write to a caller may take.
 	Stall time.Duration
-	// FindPlace asks for places at engines; ReleasePlace gives them back.
+	// FindPlace reserves a place at model engines; ReleasePlace frees it.
 	FindPlace    func(context.Context, placement.Ask, residency.Area) (*broker.Place, *placement.Refusal)
 	ReleasePlace func(p *broker.Place, full, failed string, seen *placement.Seen)
-	// BeganAtPlace is told how many requests a decode engine says it runs,
-	// ReadAtPlace the same of the prefill engine, and how long it took.
+	// BeganAtPlace receives the number of requests that a decode engine reports as running
+	// when it begins to answer. ReadAtPlace receives the same from the prefill engine, and
+	// how long the prefill took.
 	BeganAtPlace func(p *broker.Place, running int)
 	ReadAtPlace  func(p *broker.Place, running int, took time.Duration)
-	// Regions has the region of each availability zone.
+	// Regions maps each availability zone to its region.
 	Regions map[string]string
-	// Isolated says that no change can reach this instance.
+	// Isolated reports whether this instance is cut off from all updates.
 	Isolated func() bool
-	// Gone is told of an endpoint whose address another one has.
+	// Gone is called with the ID of an endpoint whose address now belongs to another one.
 	Gone func(id string)
-	// Suspects remember which requests end endpoints.
+	// Suspects records which requests crash endpoints.
 	Suspects *suspects.Suspects
 }
 
-// Forwarder serves callers' requests.
+// Forwarder is the HTTP handler that forwards callers' requests to endpoints.
 type Forwarder struct {
 	Options
-	leaving   atomic.Bool
-	noStreams atomic.Bool
-	bodies    atomic.Int64
-	running   atomic.Int64
-	deadlines *deadline.Set
-
-	mu      sync.Mutex
-	budgets map[string]*budget.Budget // by service
-	shares  int
-	began   clock.Millis
+	draining        atomic.Bool
+	refuseStreaming atomic.Bool
+	bodyBytes       atomic.Int64
+	running         atomic.Int64
+	deadlines       *deadline.Set
+
+	mu        sync.Mutex
+	budgets   map[string]*budget.Budget // by service
+	instances int
+	startedAt clock.Millis
 }
 
 // New returns a Forwarder.
 func New(o Options) *Forwarder {
-	return &Forwarder{Options: o, deadlines: deadline.New(o.Now), budgets: map[string]*budget.Budget{}, shares: 1, began: o.Now()}
+	return &Forwarder{Options: o, deadlines: deadline.New(o.Now), budgets: map[string]*budget.Budget{}, instances: 1, startedAt: o.Now()}
 }
 
-// Leave makes answers tell callers to close their connections.
-func (f *Forwarder) Leave() { f.leaving.Store(true) }
+// Leave makes all further responses ask callers to close their connections.
+func (f *Forwarder) Leave() { f.draining.Store(true) }
 
-// RefuseStreams makes requests to engines be refused: they might not end before
+// RefuseStreams makes the Forwarder refuse streaming requests, which might not end before
 // the process does.
-func (f *Forwarder) RefuseStreams() { f.noStreams.Store(true) }
+func (f *Forwarder) RefuseStreams() { f.refuseStreaming.Store(true) }
 
-// Resume ends, at their times, requests that were here while the machine was
-// suspended.
+// Resume is called after a suspension of the machine. It ends the requests whose deadlines
+// passed meanwhile and rearms the others.
 func (f *Forwarder) Resume() { f.deadlines.Resume() }
 
-// Running is the number of requests in progress.
+// Running returns the number of requests in progress.
 func (f *Forwarder) Running() int64 { return f.running.Load() }
 
-// Share sets how many instances divide the retry allowance.
-func (f *Forwarder) Share(shares int) {
+// Share sets the number of instances that divide the retry budget.
+func (f *Forwarder) Share(instances int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.shares = shares
+	f.instances = instances
 	for _, b := range f.budgets {
-		b.Share(shares)
+		b.Share(instances)
 	}
 }
 
-// Allow replaces the retry allowance of all instances together.
+// Allow replaces the retry budget shared by all instances.
 func (f *Forwarder) Allow(rule budget.Rule) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -115,7 +116,7 @@
 	}
 }
 
-// BudgetLeft is how many extra sends each service still allows this instance.
+// BudgetLeft returns how many extra sends this instance may still make, by service.
 func (f *Forwarder) BudgetLeft() map[string]float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -131,7 +132,7 @@
 	defer f.mu.Unlock()
 	b := f.budgets[service]
 	if b == nil {
-		b = budget.New(f.Retry, f.shares, f.began)
+		b = budget.New(f.Retry, f.instances, f.startedAt)
 		f.budgets[service] = b
 	}
 	return b
@@ -141,19 +142,19 @@
 func (f *Forwarder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.running.Add(1)
 	defer f.running.Add(-1)
-	if f.leaving.Load() {
+	if f.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	p := &passage{Forwarder: f, w: newCaller(w, f.Stall), arrived: f.Now(), view: f.Directory.View(), trail: f.Log.Trail()}
+	p := &proxyRequest{Forwarder: f, w: newTimeoutWriter(w, f.Stall), arrived: f.Now(), view: f.Directory.View(), trail: f.Log.Trail()}
 	defer func() { p.trail.End(p.inTime) }()
-	defer p.release()
+	defer p.releaseMemory()
 	if p.admit(r) {
 		p.run(r.Context())
 	}
 }
 
 const (
-	again    progress = iota // try another endpoint
-	answered                 // the caller has its answer
-	hopeless                 // no endpoint is left, or no budget
+	stepRetry    stepResult = iota // try again, at another endpoint
+	stepAnswered                   // the caller has been answered
+	stepGiveUp                     // no endpoint or no budget left
 )
--- a/internal/forward/memory.go
+++ b/internal/forward/memory.go
@@ -2,36 +2,37 @@
 
 import "io"
 
-// errMemory says that the memory for bodies is taken.
-var errMemory = Error.New("bodies take all the memory that they may")
+// errMemoryFull is returned when BodyMemory is exhausted.
+var errMemoryFull = Error.New("the memory for bodies is exhausted")
 
-// hold takes memory for a body until the request ends. What is still on its way counts as
-// well: a caller who sends slowly holds as much as one who waits.
-func (p *passage) hold(bytes int64) bool {
-	if p.bodies.Add(bytes) > p.BodyMemory && bytes > 0 {
-		p.bodies.Add(-bytes)
+// reserveMemory reserves memory for a body until the request ends. It counts bytes that
+// have not arrived yet as well: a caller that sends slowly holds as much memory as one that
+// waits for its answer.
+func (p *proxyRequest) reserveMemory(bytes int64) bool {
+	if p.bodyBytes.Add(bytes) > p.BodyMemory && bytes > 0 {
+		p.bodyBytes.Add(-bytes)
 		return false
 	}
-	p.holds += bytes
+	p.reservedBytes += bytes
 	return true
 }
 
-// release gives back what the request held.
-func (p *passage) release() {
-	p.bodies.Add(-p.holds)
-	p.holds = 0
+// releaseMemory releases all memory that the request reserved.
+func (p *proxyRequest) releaseMemory() {
+	p.bodyBytes.Add(-p.reservedBytes)
+	p.reservedBytes = 0
 }
 
-// held is a body of unknown length, which takes memory as it comes.
-type held struct {
+// memoryReader reads a body of unknown length and reserves memory for each part.
+type memoryReader struct {
 	io.Reader
-	p *passage
+	p *proxyRequest
 }
 
-func (h held) Read(b []byte) (int, error) {
-	n, err := h.Reader.Read(b)
-	if !h.p.hold(int64(n)) {
-		return n, errMemory
+func (m memoryReader) Read(b []byte) (int, error) {
+	n, err := m.Reader.Read(b)
+	if !m.p.reserveMemory(int64(n)) {
+		return n, errMemoryFull
 	}
 	return n, err
 }
--- a/internal/forward/memory_test.go
+++ b/internal/forward/memory_test.go
@@ -11,33 +11,33 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A body counts from its first byte on, whether its length is told or not: hundreds of
-// callers who send slowly would take more memory than there is.
-func TestBodiesThatComeSlowlyCount(t *testing.T) {
+// A body counts against the memory limit from its first byte, whether or not its length is
+// declared. Otherwise hundreds of callers that send slowly would exhaust the memory.
+func TestSlowBodiesCountAgainstMemory(t *testing.T) {
 	tests := []struct {
 		name   string
-		length int64 // that is told
-	}{{"of known length", 600}, {"of unknown length", -1}}
+		length int64 // Content-Length
+	}{{"known length", 600}, {"unknown length", -1}}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			g := newGuarded(t)
+			g := newEngineRequest(t)
 			g.BodyMemory = 1000
 			g.view.Table.Limits.BodyBytes = 800
-			request := func(length int64, r io.Reader) (*passage, *http.Request, *httptest.ResponseRecorder) {
+			request := func(length int64, r io.Reader) (*proxyRequest, *http.Request, *httptest.ResponseRecorder) {
 				answer := httptest.NewRecorder()
-				p := &passage{Forwarder: g.Forwarder, w: newCaller(answer, time.Minute), view: g.view, trail: g.Log.Trail(), route: g.route, limit: g.limit}
+				p := &proxyRequest{Forwarder: g.Forwarder, w: newTimeoutWriter(answer, time.Minute), view: g.view, trail: g.Log.Trail(), route: g.route, deadline: g.deadline}
 				req := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/x", r)
 				req.ContentLength = length
 				return p, req, answer
 			}
-			comes, body := io.Pipe()
-			slow, req, _ := request(test.length, comes)
+			pipe, body := io.Pipe()
+			slow, req, _ := request(test.length, pipe)
 			read := make(chan bool, 1)
 			go func() { read <- slow.readBody(req) }()
 			_, err := body.Write(make([]byte, 500))
 			c.Assert(err, qt.IsNil)
-			_, err = body.Write(make([]byte, 99)) // the first part was taken
+			_, err = body.Write(make([]byte, 99)) // the first part has been read
 			c.Assert(err, qt.IsNil)
 
 			other, req, answer := request(600, bytes.NewReader(make([]byte, 600)))
@@ -48,8 +48,8 @@
 			c.Assert(err, qt.IsNil)
 			c.Assert(body.Close(), qt.IsNil)
 			c.Check(<-read, qt.IsTrue)
-			slow.release()
-			c.Check(g.bodies.Load(), qt.Equals, int64(0))
+			slow.releaseMemory()
+			c.Check(g.bodyBytes.Load(), qt.Equals, int64(0))
 		})
 	}
 }
--- a/internal/forward/permits.go
+++ b/internal/forward/permits.go
@@ -12,30 +12,31 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// Permits say whether requests may go to endpoints that take so many a second from all
-// instances together. Without one a request goes elsewhere, or is refused at once: what
-// is too much for an endpoint in need is not made less by waiting before it, and costs
-// neither a send nor the retry allowance.
+// Permits control sends to endpoints that accept only so many requests per second from all
+// instances together. A request without a permit goes to another endpoint or is refused at
+// once: waiting would not reduce the load on an overloaded endpoint, and a refusal costs
+// neither a send nor retry budget.
 type Permits struct {
-	// Take gets a permit for a request to an endpoint; it returns 0, or when there may
-	// be one.
+	// Take requests a permit for one send to an endpoint. It returns 0 if it got one, or
+	// else the time until one may be available.
 	Take func(ctx context.Context, endpoint string, priority int) time.Duration
-	// Return gives back one that was not used.
+	// Return gives back an unused permit.
 	Return func(endpoint string)
-	// Withheld are endpoints to which no request of a priority may go, and how long; the
-	// map is the caller's.
+	// Withheld returns the endpoints to which no request of the given priority may go, and
+	// for how long. The caller owns the map.
 	Withheld func(priority int) map[string]time.Duration
-	// Unnamed is told of an endpoint whose good answer named no limit, and when the
-	// request was sent.
+	// Unnamed reports that an endpoint answered successfully without stating a limit, and
+	// when that request was sent.
 	Unnamed func(endpoint string, sent clock.Millis)
 }
 
-// reserve takes a place at an endpoint of a plain service, with a permit where it has a
-// limit. The ask then holds why others were passed over.
-func (f *Forwarder) reserve(ctx context.Context, ask *balance.Ask, priority int) *balance.Reservation {
-	ask.Withheld = f.Permits.Withheld(priority)
+// reserve reserves a slot at an endpoint of a plain service, with a permit if the endpoint
+// has a limit. Endpoints that were passed over for lack of a permit are added to
+// criteria.Withheld.
+func (f *Forwarder) reserve(ctx context.Context, criteria *balance.Ask, priority int) *balance.Reservation {
+	criteria.Withheld = f.Permits.Withheld(priority)
 	for {
-		r := f.Balancer.Reserve(f.Now(), f.Directory.View(), *ask)
+		r := f.Balancer.Reserve(f.Now(), f.Directory.View(), *criteria)
 		if r == nil {
 			return nil
 		}
@@ -44,71 +45,72 @@
 			return r
 		}
 		r.Done(f.Now(), balance.Abandoned)
-		if ask.Withheld == nil {
-			ask.Withheld = map[string]time.Duration{}
+		if criteria.Withheld == nil {
+			criteria.Withheld = map[string]time.Duration{}
 		}
-		ask.Withheld[r.Endpoint.ID] = after
+		criteria.Withheld[r.Endpoint.ID] = after
 	}
 }
 
-// permitted takes the permits for what a place at engines is for. Its planner may know
-// nothing of their limits.
-func (p *passage) permitted(ctx context.Context, place *broker.Place, reads bool) bool {
+// takePermits takes the permits for a place at engines, whose planner may not know the
+// engines' limits.
+func (p *proxyRequest) takePermits(ctx context.Context, place *broker.Place, withPrefill bool) bool {
 	if !p.takePermit(ctx, place.Decode) {
-		p.failure = endpointsLimited
+		p.failure = reasonLimited
 		return false
 	}
-	if reads && !p.takePermit(ctx, place.Prefill) {
+	if withPrefill && !p.takePermit(ctx, place.Prefill) {
 		p.Permits.Return(place.Decode)
-		p.failure = endpointsLimited
+		p.failure = reasonLimited
 		return false
 	}
 	return true
 }
 
-// takePermit gets a permit for an engine. A stream that has begun waits for one, since to
-// break it off costs its caller all that has come.
-func (p *passage) takePermit(ctx context.Context, engine string) bool {
-	after := p.Permits.Take(ctx, engine, p.urgency())
-	if p.waitResumed(ctx, after) {
-		after = p.Permits.Take(ctx, engine, p.urgency())
+// takePermit takes a permit for an engine. A stream that has begun waits for one, because
+// aborting it would waste all that the caller has received.
+func (p *proxyRequest) takePermit(ctx context.Context, engine string) bool {
+	after := p.Permits.Take(ctx, engine, p.permitPriority())
+	if p.waitToResume(ctx, after) {
+		after = p.Permits.Take(ctx, engine, p.permitPriority())
 	}
 	return after == 0
 }
 
-// waitResumed waits for a time if that helps a stream which has begun and goes on
-// elsewhere: its caller gives it up after a gap of a few seconds.
-func (p *passage) waitResumed(ctx context.Context, length time.Duration) bool {
-	if !p.headSent || length <= 0 || length > min(resumeHold, p.left()) {
+// waitToResume waits for the given time if the request is a stream that has begun and the
+// time is short enough: callers give up a stream after a gap of a few seconds. It reports
+// whether the stream can resume.
+func (p *proxyRequest) waitToResume(ctx context.Context, length time.Duration) bool {
+	if !p.headSent || length <= 0 || length > min(resumeWait, p.left()) {
 		return false
 	}
 	ticker.Sleep(ctx, length)
 	return ctx.Err() == nil
 }
 
-// urgency is the request's priority among those that want a permit: what has begun goes
-// before all that has not.
-func (p *passage) urgency() int {
+// permitPriority returns the request's priority for permits. Streams that have begun take
+// precedence over all requests that have not.
+func (p *proxyRequest) permitPriority() int {
 	if p.headSent {
 		return -1
 	}
 	return p.priority()
 }
 
-// unused gives back the permits of a place for which nothing was sent.
-func (p *passage) unused(place *broker.Place, reads bool) {
+// returnPermits gives back the permits of a place to which nothing was sent.
+func (p *proxyRequest) returnPermits(place *broker.Place, withPrefill bool) {
 	p.Permits.Return(place.Decode)
-	if reads {
+	if withPrefill {
 		p.Permits.Return(place.Prefill)
 	}
 }
 
-// endpointsLimited is the reason of a request for which no endpoint has a permit.
-const endpointsLimited = placement.ReasonLimited
+// reasonLimited is the failure reason of a request for which no endpoint has a permit.
+const reasonLimited = placement.ReasonLimited
 
-// heardNoLimit tells of an endpoint that answered well.
-func (p *passage) heardNoLimit(e *directory.Endpoint, a Answer, sent clock.Millis) {
-	if !a.Limited && !a.NotRun {
+// reportNoLimit reports an endpoint that ran the request and stated no limit.
+func (p *proxyRequest) reportNoLimit(e *directory.Endpoint, head Answer, sent clock.Millis) {
+	if !head.Limited && !head.NotRun {
 		p.Permits.Unnamed(e.ID, sent)
 	}
 }
--- a/internal/forward/place.go
+++ b/internal/forward/place.go
@@ -13,44 +13,43 @@
 	"github.com/trailshed/trailshed/internal/placement"
 )
 
-// nextPlace returns the place where the request goes on after a silence, with
-// the sends that were paid for, or asks for one.
-func (p *passage) nextPlace(ctx context.Context) (place *broker.Place, paid int, refusal *placement.Refusal) {
-	p.asks++
-	if m := p.takeMove(); m != nil {
-		return m.place, m.paid, nil
+// nextPlace returns the place found during a silence, with the sends already paid for, or
+// requests one.
+func (p *proxyRequest) nextPlace(ctx context.Context) (place *broker.Place, paid int, refusal *placement.Refusal) {
+	p.placeRequests++
+	if alt := p.takeAlternative(); alt != nil {
+		return alt.place, alt.paidSends, nil
 	}
 	place, refusal = p.findPlace(ctx)
 	return place, 0, refusal
 }
 
-func (p *passage) findPlace(ctx context.Context) (*broker.Place, *placement.Refusal) {
-	ask := p.placeAsk(strconv.Itoa(p.asks))
-	p.setPatience(&ask)
-	ask.Exclude = slices.Concat(p.tried, p.prefill.tried, p.prefill.rejected, p.closed())
-	ask.Avoid = p.Balancer.Ejected(p.Now())
-	ask.Part = p.wantedPart()
-	return p.FindPlace(ctx, ask, p.area())
+func (p *proxyRequest) findPlace(ctx context.Context) (*broker.Place, *placement.Refusal) {
+	req := p.newPlaceRequest(strconv.Itoa(p.placeRequests))
+	p.setPlaceWait(&req)
+	req.Exclude = slices.Concat(p.tried, p.prefill.tried, p.prefill.rejected, p.unavailableEngines())
+	req.Avoid = p.Balancer.Ejected(p.Now())
+	req.Part = p.neededPart()
+	return p.FindPlace(ctx, req, p.allowedArea())
 }
 
-// setPatience says how long the request may wait for a place.
-func (p *passage) setPatience(ask *placement.Ask) {
+// setPlaceWait sets how long the request may wait for a place.
+func (p *proxyRequest) setPlaceWait(req *placement.Ask) {
 	left := p.left()
 	inTime := p.route.Target - p.Now().Sub(p.arrived)
 	switch {
-	case p.headSent: // the caller waits in the middle of its stream
-		ask.Late, ask.Hold = true, min(resumeHold, left/holdPart)
-	case p.prefill.handle != nil: // what was read must not lapse
-		ask.Budget = min(lateBudget, left)
+	case p.headSent: // the caller is waiting in the middle of a stream
+		req.Late, req.Hold = true, min(resumeWait, left/maxWaitDivisor)
+	case p.prefill.handle != nil: // the KV cache must not expire
+		req.Budget = min(latePlaceWait, left)
 	default:
-		ask.Budget, ask.Late = min(max(inTime, 0), left), inTime <= 0
-		ask.Hold = min(inTime+holdTargets*p.route.Target, left/holdPart)
+		req.Budget, req.Late = min(max(inTime, 0), left), inTime <= 0
+		req.Hold = min(inTime+extraWaitTargets*p.route.Target, left/maxWaitDivisor)
 	}
 }
 
-// placeAsk is an ask for places, the suffix of whose id is unique within the
-// request.
-func (p *passage) placeAsk(suffix string) placement.Ask {
+// newPlaceRequest returns a request for a place. The suffix must be unique within this request.
+func (p *proxyRequest) newPlaceRequest(suffix string) placement.Ask {
 	return placement.Ask{
 		ID: p.call.ID + "/" + suffix, Service: p.service, Route: p.route.Name,
 		Prompt: p.call.Prompt, Output: p.call.Hint, Most: p.call.Output,
@@ -60,48 +59,50 @@
 }
 
 const (
-	// lateBudget is how long a request whose prompt is read, or that moves on,
-	// waits for a place.
-	lateBudget = 600 * time.Millisecond
-	// resumeHold is the same for a stream that has begun: callers give it up
-	// after a gap of a few seconds.
-	resumeHold = 1500 * time.Millisecond
-	// lateReserve is kept of a request's time for the answer itself, if it moves
-	// on.
-	lateReserve = 1500 * time.Millisecond
-	// holdTargets is for how many targets beyond the first a request that will be
-	// late may wait for room: callers give up a stream of which no event has come
-	// after four targets, and the last is for the prompt. It waits for no more
-	// than a part of its time, holdPart, since the answer takes some too.
-	holdTargets = 2
-	holdPart    = 2
+	// latePlaceWait is how long a request that has a KV cache, or that moves to another
+	// endpoint, waits for a place.
+	latePlaceWait = 600 * time.Millisecond
+	// resumeWait is the same for a stream that has begun: callers give up a stream after a
+	// gap of a few seconds.
+	resumeWait = 1500 * time.Millisecond
+	// minAnswerTime is the part of a request's time that is kept for the response itself
+	// when the request moves to another endpoint.
+	minAnswerTime = 1500 * time.Millisecond
+	// extraWaitTargets is how many times the route's target, beyond the first, a request
+	// that will be late may wait for a place. Callers give up a stream without any event
+	// after four targets, and the last of these is needed for the prefill. Since the
+	// response takes time too, the wait is also limited to the remaining time divided by
+	// maxWaitDivisor.
+	extraWaitTargets = 2
+	maxWaitDivisor   = 2
 )
 
-// wantedPart says which engines the request needs now.
-func (p *passage) wantedPart() placement.Part {
+// neededPart returns which engines the request needs now.
+func (p *proxyRequest) neededPart() placement.Part {
 	switch {
 	case p.prefill.handle != nil:
 		return placement.DecodeOnly
-	case p.prefill.sends >= prefillSends || p.call.Prompt == 0:
+	case p.prefill.sends >= maxPrefillSends || p.call.Prompt == 0:
 		return placement.Whole
 	default:
 		return placement.Both
 	}
 }
 
-// closed are the engines that take nothing from this instance, as their answers told
-// it, and those without a permit for the request. Planners on other instances may not
-// know.
-func (p *passage) closed() []string {
-	withheld := slices.Collect(maps.Keys(p.Permits.Withheld(p.urgency())))
+// unavailableEngines returns the engines that accept nothing from this instance, according
+// to their responses, and those without a permit for the request. Planners on other
+// instances may not know about them.
+func (p *proxyRequest) unavailableEngines() []string {
+	withheld := slices.Collect(maps.Keys(p.Permits.Withheld(p.permitPriority())))
 	return slices.Concat(p.Directory.View().Leaving[p.service], p.Balancer.Resting(p.Now()), withheld)
 }
 
-// endpoint returns the engine with an id, unless it leaves or the request may not go to
-// its zone. The planner may know one that this instance has not heard of yet, and tells
-// where it is; it may not know yet that one leaves.
-func (p *passage) endpoint(id string) *directory.Endpoint {
-	area := p.area()
+// findEngine returns the engine with the given ID, or nil if the engine is leaving or the
+// request may not go to its zone. The planner may know an engine that this instance does
+// not know yet, and then sends its data along; conversely, it may not know yet that an
+// engine is leaving.
+func (p *proxyRequest) findEngine(id string) *directory.Endpoint {
+	area := p.allowedArea()
 	if e := p.view.Find(id); e != nil && e.Service == p.service {
 		if e.State != directory.Ready || !area.Allows(e.Zone) {
 			return nil
@@ -116,9 +117,9 @@
 	return nil
 }
 
-// logPlace notes a place, and when the first event is predicted.
-func (p *passage) logPlace(place *broker.Place) {
-	n := p.line(eventlog.Placed, "", nil)
+// logPlace logs a place and predicts the time of the first event.
+func (p *proxyRequest) logPlace(place *broker.Place) {
+	n := p.logLine(eventlog.Placed, "", nil)
 	n.Endpoint, n.Prefill, n.Zone, n.Wait, n.Count = place.Decode, place.Prefill, place.Zone, place.Wait, int64(place.Used)
 	p.trail.Write(n)
 	if p.headSent {
--- a/internal/forward/prefill.go
+++ b/internal/forward/prefill.go
@@ -18,144 +18,143 @@
 )
 
 const (
-	// prefillSends bounds how often one request's prompt is sent to prefill
-	// engines; after that a decode engine reads it.
-	prefillSends = 2
-	// prefillTimes is how often its predicted time a prefill may take, and
-	// prefillSlack how much longer. To break one off has its prompt read for
-	// nothing, so both are generous.
-	prefillTimes = 4
-	prefillSlack = 800 * time.Millisecond
-	// handlePart of a KV cache's life, in percent, is used; the rest is the way
-	// to the decode engine.
-	handlePart = 70
-	// handleRejections is how many decode engines may turn a KV cache away
-	// before one is asked to read the prompt itself.
-	handleRejections = 2
-	// asksMost bounds how often places are asked for one request.
-	asksMost = 5
-	// freeWait bounds the call that frees a KV cache.
-	freeWait = 500 * time.Millisecond
-	// handleAnswer bounds the body that names a handle, in bytes.
-	handleAnswer = 4 << 10
+	// maxPrefillSends bounds how often the prompt of one request is sent to prefill
+	// engines; after that a decode engine computes the prefill.
+	maxPrefillSends = 2
+	// A prefill times out after prefillTimeoutFactor times its predicted duration plus
+	// prefillTimeoutSlack. Both are generous, because an aborted prefill is wasted work.
+	prefillTimeoutFactor = 4
+	prefillTimeoutSlack  = 800 * time.Millisecond
+	// handleLifePercent is the percentage of a KV cache's lifetime after which it counts as
+	// expired; the rest is left for the transfer to the decode engine.
+	handleLifePercent = 70
+	// maxHandleRejections is how many decode engines may reject a KV cache before a decode
+	// engine is asked to compute the prefill itself.
+	maxHandleRejections = 2
+	// maxPlaceRequests bounds how often one request asks for a place.
+	maxPlaceRequests = 5
+	// freeTimeout bounds the call that frees a KV cache.
+	freeTimeout = 500 * time.Millisecond
+	// maxHandleBytes bounds the body that names a handle.
+	maxHandleBytes = 4 << 10
 )
 
-// prefill is where a request's prompt was read apart.
-type prefill struct {
-	handle   *Handle // the KV cache that waits for its decode engine
-	readAt   clock.Millis
-	readBy   string   // the prefill engine
-	sends    int      // of the prompt to prefill engines
-	tried    []string // prefill engines that failed
-	rejected []string // decode engines that turned the KV cache away
-	// uncertain says that a decode engine that was sent the handle ended the
-	// connection without an answer: it may have taken the KV cache.
+// prefillState is the state of a prefill on a separate engine.
+type prefillState struct {
+	handle     *Handle // KV cache that waits for a decode engine
+	finishedAt clock.Millis
+	engine     string   // ID of the prefill engine
+	sends      int      // of the prompt to prefill engines
+	tried      []string // prefill engines that failed
+	rejected   []string // decode engines that rejected the KV cache
+	// uncertain is set when a decode engine that was sent the handle closed the
+	// connection without a response: it may have fetched the KV cache.
 	uncertain bool
 }
 
-// fresh says whether the KV cache is still kept.
-func (p *prefill) fresh(now clock.Millis, life time.Duration) bool {
-	return p.handle != nil && now.Sub(p.readAt) < life*handlePart/100
+// handleFresh reports whether there is a KV cache that has not expired.
+func (p *prefillState) handleFresh(now clock.Millis, life time.Duration) bool {
+	return p.handle != nil && now.Sub(p.finishedAt) < life*handleLifePercent/100
 }
 
-// engineStep finds places for the request at engines, has the prompt read and
-// lets it run.
-func (p *passage) engineStep(ctx context.Context) progress {
+// engineStep gets a place at engines for the request, runs the prefill there and sends the
+// request to the decode engine.
+func (p *proxyRequest) engineStep(ctx context.Context) stepResult {
 	p.view = p.Directory.View()
-	if p.asks >= asksMost {
-		return hopeless
+	if p.placeRequests >= maxPlaceRequests {
+		return stepGiveUp
 	}
-	if !p.engine() {
-		p.failure = "service_gone" // a new configuration dropped it meanwhile
-		return hopeless
+	if !p.usesEngines() {
+		p.failure = "service_gone" // removed by a newer configuration
+		return stepGiveUp
 	}
 	p.dropStaleHandle()
 	place, paid, refusal := p.nextPlace(ctx)
 	if place == nil {
-		return p.withoutPlace(ctx, refusal)
+		return p.placeRefused(ctx, refusal)
 	}
-	p.full, p.failed, p.place, p.seen = "", "", place, seen{}
+	p.fullEngine, p.failedEngine, p.place, p.timing = "", "", place, responseTiming{}
 	p.logPlace(place)
-	defer func() { p.ReleasePlace(place, p.full, p.failed, p.seen.told()) }()
-	if p.held() {
-		return hopeless
+	defer func() { p.ReleasePlace(place, p.fullEngine, p.failedEngine, p.timing.observation()) }()
+	if p.quarantined() {
+		return stepGiveUp
 	}
-	decode := p.endpoint(place.Decode)
-	reads := p.prefill.handle == nil && place.Prefill != ""
-	if decode == nil || p.rests(place) || !p.permitted(ctx, place, reads) {
+	decode := p.findEngine(place.Decode)
+	withPrefill := p.prefill.handle == nil && place.Prefill != ""
+	if decode == nil || p.anyBackingOff(place) || !p.takePermits(ctx, place, withPrefill) {
 		if decode == nil {
 			p.tried = append(p.tried, place.Decode)
 		}
 		p.budget(p.service).Return(p.Now(), paid)
-		return again
+		return stepRetry
 	}
 	send := p.extraSends(false)
-	if !p.afford(max(p.extraSends(reads)-paid, 0)) {
-		return p.unaffordable(place, reads)
+	if !p.takeBudget(max(p.extraSends(withPrefill)-paid, 0)) {
+		return p.prefillUnaffordable(place, withPrefill)
 	}
-	if reads && !p.readPrompt(ctx, place.Prefill) {
-		p.unused(place, false)
+	if withPrefill && !p.runPrefill(ctx, place.Prefill) {
+		p.returnPermits(place, false)
 		p.budget(p.service).Return(p.Now(), send)
-		return again
+		return stepRetry
 	}
 	r := p.Balancer.ReserveAt(p.Now(), decode)
-	if r == nil { // it has asked for rest while the prompt was read
-		p.full = decode.ID
+	if r == nil { // the engine began to back off during the prefill
+		p.fullEngine = decode.ID
 		p.budget(p.service).Return(p.Now(), send)
-		return again
+		return stepRetry
 	}
 	if p.attempt(ctx, r) {
-		return answered
+		return stepAnswered
 	}
-	p.blame(decode.ID)
-	return again
+	p.recordFailedEngine(decode.ID)
+	return stepRetry
 }
 
-// withoutPlace ends a request for which planners have no place, or has a stream that has
-// begun wait for a permit.
-func (p *passage) withoutPlace(ctx context.Context, refusal *placement.Refusal) progress {
+// placeRefused ends a request for which the planners have no place. If only a permit is
+// missing, a stream that has begun waits for it.
+func (p *proxyRequest) placeRefused(ctx context.Context, refusal *placement.Refusal) stepResult {
 	p.failure = refusal.Reason
 	if refusal.Reason == placement.ReasonNoZone {
-		p.failure = p.withoutEndpoint()
+		p.failure = p.noEndpointReason()
 	}
-	if refusal.Reason == placement.ReasonLimited && p.waitResumed(ctx, refusal.After) {
-		return again
+	if refusal.Reason == placement.ReasonLimited && p.waitToResume(ctx, refusal.After) {
+		return stepRetry
 	}
-	ask := p.runAsk()
-	ask.Withheld = p.Permits.Withheld(p.urgency())
-	p.comeBackAfter(ask, refusal.After)
-	return hopeless
+	criteria := p.endpointCriteria()
+	criteria.Withheld = p.Permits.Withheld(p.permitPriority())
+	p.setRetryAfter(criteria, refusal.After)
+	return stepGiveUp
 }
 
-// unaffordable ends a request, or has a decode engine read its prompt, where the retry
-// budget does not allow its sends. Both are paid for before the first: a prompt that is
-// read and may not go on is read for nothing.
-func (p *passage) unaffordable(place *broker.Place, reads bool) progress {
-	p.unused(place, reads)
-	if !reads || p.prefill.sends == 0 {
+// prefillUnaffordable handles a place whose sends the retry budget does not cover: it
+// leaves the prefill to a decode engine, or ends the request. Prefill and decode are paid
+// for together before the first is sent, because a prefill without its decode is wasted.
+func (p *proxyRequest) prefillUnaffordable(place *broker.Place, withPrefill bool) stepResult {
+	p.returnPermits(place, withPrefill)
+	if !withPrefill || p.prefill.sends == 0 {
 		return p.budgetSpent()
 	}
-	p.prefill.sends = prefillSends // a decode engine reads it, in one send
-	return again
+	p.prefill.sends = maxPrefillSends // the decode engine computes the prefill too, in one send
+	return stepRetry
 }
 
-// noteHandle judges whether the KV cache is still kept after a send with its
-// handle. An engine whose connection ends without an answer has mostly not taken
-// it, so the next decode engine is offered it before the prompt is read again,
-// which would wait behind all others' and leave the first reading without use.
-func (p *passage) noteHandle(a Answer, err error) {
+// updateHandle determines whether the KV cache still exists after its handle was sent. An
+// engine that closes the connection without a response has usually not fetched the cache, so
+// it is offered to the next decode engine first. Another prefill would wait behind those of
+// other requests and waste the first.
+func (p *proxyRequest) updateHandle(head Answer, err error) {
 	switch {
-	case err == nil && !a.NotRun:
-		p.prefill.handle = nil // it was taken
+	case err == nil && !head.NotRun:
+		p.prefill.handle = nil // fetched
 	case errors.Is(err, uplink.ErrSevered):
 		p.prefill.uncertain = true
 	}
 }
 
-// handleRejected takes a decode engine's answer that it did not run the request,
-// which may be because it could not have the KV cache: the engine is not excluded
-// for good. A cache that another engine may have taken is gone then.
-func (p *passage) handleRejected(decode string) {
+// handleRejected handles a response that says that a decode engine did not run the request.
+// The reason may be that it could not fetch the KV cache, so the engine is not excluded for
+// good. A cache that another engine may have fetched is given up.
+func (p *proxyRequest) handleRejected(decode string) {
 	p.tried = p.tried[:len(p.tried)-1]
 	if p.prefill.uncertain {
 		p.freeHandle()
@@ -164,56 +163,60 @@
 	p.prefill.rejected = append(p.prefill.rejected, decode)
 }
 
-// dropStaleHandle lets go of a KV cache that lapses or that nobody could take.
-func (p *passage) dropStaleHandle() {
+// dropStaleHandle frees a KV cache that is about to expire or that too many engines
+// rejected.
+func (p *proxyRequest) dropStaleHandle() {
 	h := &p.prefill
 	if h.handle == nil {
 		return
 	}
 	life := p.view.Table.Service(p.service).Engine.HandleLife
-	if h.fresh(p.Now(), life) && len(h.rejected) < handleRejections {
+	if h.handleFresh(p.Now(), life) && len(h.rejected) < maxHandleRejections {
 		return
 	}
 	if !h.uncertain {
-		h.sends = prefillSends // a decode engine reads the prompt
+		h.sends = maxPrefillSends // leave the prefill to a decode engine
 	}
 	h.rejected = nil
 	p.freeHandle()
 }
 
-// blame notes which engine failed, unless it only had no room. When several
-// decode engines turned a KV cache away, its prefill engine is to blame.
-func (p *passage) blame(decode string) {
+// recordFailedEngine notes which engine failed at this place, unless it was only full. If
+// several decode engines rejected the KV cache, its prefill engine is considered to have
+// failed.
+func (p *proxyRequest) recordFailedEngine(decode string) {
 	switch {
-	case len(p.prefill.rejected) >= handleRejections:
-		p.full, p.failed = "", p.prefill.readBy
-	case p.full == "":
-		p.failed = decode
+	case len(p.prefill.rejected) >= maxHandleRejections:
+		p.fullEngine, p.failedEngine = "", p.prefill.engine
+	case p.fullEngine == "":
+		p.failedEngine = decode
 	}
 }
 
-// readPrompt has a prefill engine read the prompt and keeps the handle.
-func (p *passage) readPrompt(ctx context.Context, id string) bool {
-	e := p.endpoint(id)
+// runPrefill runs the prefill on the engine with the given ID. It reports whether there is
+// a handle now.
+func (p *proxyRequest) runPrefill(ctx context.Context, id string) bool {
+	e := p.findEngine(id)
 	if e == nil {
 		p.prefill.tried = append(p.prefill.tried, id)
 		return false
 	}
 	r := p.Balancer.ReserveAt(p.Now(), e)
 	if r == nil {
-		p.full = id
+		p.fullEngine = id
 		return false
 	}
 	p.prefillAt(ctx, r)
 	return p.prefill.handle != nil
 }
 
-// rests says whether an engine of a place wants no requests from this instance now,
-// which its planner may not know. The planner is told as of one that is full.
-func (p *passage) rests(place *broker.Place) bool {
+// anyBackingOff reports whether an engine of a place accepts no requests from this instance
+// for now, which the planner may not know. Such an engine is reported to the planner as
+// full.
+func (p *proxyRequest) anyBackingOff(place *broker.Place) bool {
 	for _, id := range []string{place.Decode, place.Prefill} {
 		if p.Balancer.Rests(p.Now(), id) {
-			p.failure, p.full = "endpoints_rest", id
+			p.failure, p.fullEngine = "endpoints_rest", id
 			return true
 		}
 	}
@@ -221,48 +224,48 @@
 }
 
 // prefillAt sends the prompt to one prefill engine and keeps the handle.
-func (p *passage) prefillAt(parent context.Context, r *balance.Reservation) {
-	ctx, cancel := context.WithTimeout(parent, prefillSlack+prefillTimes*p.place.Read+2*p.place.Wait)
+func (p *proxyRequest) prefillAt(parent context.Context, r *balance.Reservation) {
+	ctx, cancel := context.WithTimeout(parent, prefillTimeoutSlack+prefillTimeoutFactor*p.place.Read+2*p.place.Wait)
 	defer cancel()
 	m := p.message
-	m.To, m.Life, m.Rest = r.Endpoint.Address, r.Endpoint.ID, restOnce
+	m.To, m.Life, m.Rest = r.Endpoint.Address, r.Endpoint.ID, onceMaxIdle
 	m.Header = p.Dialect.Encode(p.call, Send{
 		Endpoint: r.Endpoint, Wait: max(p.left(), 0), Priority: p.priority(), Workspace: p.workspaceName(), Stage: directory.Prefill,
 	})
 	p.prefill.sends++
 	sent := p.Now()
-	id, answer, err := p.askHandle(ctx, m)
+	id, head, err := p.requestPrefill(ctx, m)
 	if err == nil {
-		p.heardNoLimit(r.Endpoint, answer, sent)
+		p.reportNoLimit(r.Endpoint, head, sent)
 	}
 	if errors.Is(err, uplink.ErrNotSent) {
 		p.prefill.sends--
 	}
-	if answer.HasLoad {
-		r.Told(p.Now(), answer.Load)
+	if head.HasLoad {
+		r.Told(p.Now(), head.Load)
 	}
 	if err == nil {
 		r.Done(p.Now(), balance.Good)
 		p.prefill.handle = &Handle{At: r.Endpoint.Address, Life: r.Endpoint.ID, Zone: r.Endpoint.Zone, ID: id}
-		p.prefill.readAt, p.prefill.uncertain = p.Now(), false
-		p.prefill.readBy = r.Endpoint.ID
-		p.ReadAtPlace(p.place, answer.Load.Running, p.prefill.readAt.Sub(sent))
+		p.prefill.finishedAt, p.prefill.uncertain = p.Now(), false
+		p.prefill.engine = r.Endpoint.ID
+		p.ReadAtPlace(p.place, head.Load.Running, p.prefill.finishedAt.Sub(sent))
 		return
 	}
 	p.prefill.tried = append(p.prefill.tried, r.Endpoint.ID)
 	if p.prefill.sends == 1 {
-		// It may have arrived without being taken up, and counts as the first
-		// arrival then. Later prefills were paid for when they were sent.
+		// The request may have reached the engine without being run, so this
+		// counts as its first send. Later prefills were paid for when sent.
 		p.sends++
 	}
 	result := balance.Failed
-	p.failed = r.Endpoint.ID
+	p.failedEngine = r.Endpoint.ID
 	switch {
-	case answer.Other:
+	case head.Other:
 		p.Gone(r.Endpoint.ID)
 		result = balance.Rejected
-	case answer.NotRun:
-		p.full, p.failed = r.Endpoint.ID, ""
+	case head.NotRun:
+		p.fullEngine, p.failedEngine = r.Endpoint.ID, ""
 		result = balance.Rejected
 	case parent.Err() != nil:
 		result = balance.Abandoned
@@ -270,41 +273,40 @@
 		result = balance.Unreachable
 	}
 	r.Done(p.Now(), result)
-	n := p.line(eventlog.PrefillFailed, "", err)
+	n := p.logLine(eventlog.PrefillFailed, "", err)
 	n.Endpoint, n.Address = r.Endpoint.ID, r.Endpoint.Address.String()
 	p.trail.Write(n)
 	if result == balance.Failed {
-		p.runCut(parent, r.Endpoint)
+		p.checkProcessEnded(parent, r.Endpoint)
 	}
 }
 
-func (p *passage) askHandle(ctx context.Context, m uplink.Message) (string, Answer, error) {
-	var answer Answer
+func (p *proxyRequest) requestPrefill(ctx context.Context, m uplink.Message) (string, Answer, error) {
+	var head Answer
 	x, err := p.Pool.Do(ctx, m, func(resp *http.Response) bool {
-		answer = p.Dialect.Read(resp)
-		return answer.ID == p.call.ID || answer.ID == ""
+		head = p.Dialect.Read(resp)
+		return head.ID == p.call.ID || head.ID == ""
 	})
 	if err != nil {
-		return "", answer, err
+		return "", head, err
 	}
-	body, err := io.ReadAll(io.LimitReader(x.Response.Body, handleAnswer))
+	body, err := io.ReadAll(io.LimitReader(x.Response.Body, maxHandleBytes))
 	if err != nil {
 		x.Close(false)
-		return "", answer, Error.Wrap(err)
+		return "", head, Error.Wrap(err)
 	}
 	x.Close(true)
-	if x.Response.StatusCode != http.StatusOK || answer.NotRun {
-		return "", answer, Error.New("prefill answered %s", x.Response.Status)
+	if x.Response.StatusCode != http.StatusOK || head.NotRun {
+		return "", head, Error.New("the prefill engine responded %s", x.Response.Status)
 	}
 	id, err := p.Dialect.Handle(body)
-	return id, answer, err
+	return id, head, err
 }
 
-// freeHandle gives back a KV cache that will not be used. It lapses by itself
-// if the call fails, so the call's outcome is only counted, and it is left to lapse at
-// an engine that wants to be left alone, whose zone is evacuated or whose limit has no
-// room.
-func (p *passage) freeHandle() {
+// freeHandle frees a KV cache that will not be used. The cache expires by itself if the
+// call fails, so a failure is only counted. No call is made to an engine that backs off,
+// whose zone is evacuated or that has no permit left.
+func (p *proxyRequest) freeHandle() {
 	h := p.prefill.handle
 	if h == nil {
 		return
@@ -314,14 +316,14 @@
 		return
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), freeWait)
+		ctx, cancel := context.WithTimeout(context.Background(), freeTimeout)
 		defer cancel()
 		if p.Permits.Take(ctx, h.Life, permit.Background) > 0 {
 			return
 		}
 		method, target := p.Dialect.Free(*h)
 		x, err := p.Pool.Do(ctx, uplink.Message{
-			To: h.At, Life: h.Life, Method: method, Target: target, Host: h.At.String(), Rest: restRepeatable,
+			To: h.At, Life: h.Life, Method: method, Target: target, Host: h.At.String(), Rest: repeatableMaxIdle,
 		}, func(*http.Response) bool { return true })
 		if err != nil {
 			p.Scope.Counter("handle_free_failed").Inc(1)
--- /dev/null
+++ b/internal/forward/quarantine.go
@@ -0,0 +1,43 @@
+package forward
+
+import (
+	"context"
+
+	"github.com/trailshed/trailshed/internal/directory"
+	"github.com/trailshed/trailshed/internal/eventlog"
+	"github.com/trailshed/trailshed/internal/quarantine"
+)
+
+// work identifies what the request asks for, independent of the attempt.
+func (p *proxyRequest) work() quarantine.Work {
+	return quarantine.Work{
+		Workspace: p.workspaceName(), Method: p.message.Method, Host: p.message.Host, Target: p.message.Target, Body: p.message.Body,
+	}
+}
+
+// quarantined reports whether the request is known to crash the endpoints that run it. It
+// is checked on arrival, before each send, and after a wait for a place. Each retry by the
+// caller is a new request that needs no retry budget: without a memory across retries and
+// instances, one such request would crash engine after engine, together with everything
+// that runs beside it.
+func (p *proxyRequest) quarantined() bool {
+	if !p.Suspects.Holds(p.work()) {
+		return false
+	}
+	p.failure, p.retryAfter = "ends_endpoints", retryAfterQuarantined
+	return true
+}
+
+// checkProcessEnded is called when an endpoint broke off a run. If the endpoint's process
+// has ended, the request becomes a suspect.
+func (p *proxyRequest) checkProcessEnded(ctx context.Context, e *directory.Endpoint) {
+	if ctx.Err() != nil || !p.Pool.Ended(ctx, e.Address, e.ID) {
+		return
+	}
+	w := p.work()
+	n := p.logLine(eventlog.EndpointEnded, p.failure, nil)
+	n.Endpoint, n.Address, n.Work = e.ID, e.Address.String(), w.Fingerprint().String()
+	p.trail.Write(n)
+	p.Scope.Counter("endpoints_ended").Inc(1)
+	p.Suspects.Ended(w, e.ID)
+}
--- /dev/null
+++ b/internal/forward/request.go
@@ -0,0 +1,254 @@
+package forward
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"github.com/trailshed/trailshed/internal/balance"
+	"github.com/trailshed/trailshed/internal/broker"
+	"github.com/trailshed/trailshed/internal/directory"
+	"github.com/trailshed/trailshed/internal/eventlog"
+	"github.com/trailshed/trailshed/internal/route"
+	"github.com/trailshed/trailshed/internal/uplink"
+	"github.com/trailshed/trailshed/pkg/clock"
+)
+
+// proxyRequest is the state of one request, from its arrival until the caller has been
+// answered.
+type proxyRequest struct {
+	*Forwarder
+	w       *timeoutWriter
+	arrived clock.Millis
+	trail   *eventlog.Trail
+	inTime  bool // answered successfully within the route's target
+	view    *directory.View
+	call    Call
+	route   *route.Route
+	// workspace is the caller's workspace; nil in a deployment without workspaces,
+	// and on open routes for callers without a key.
+	workspace     *route.Workspace
+	chargedUnits  float64 // units counted against the workspace's limit
+	service       string
+	deadline      clock.Millis // end of the caller's wait or of the route's timeout, whichever is earlier
+	message       uplink.Message
+	reservedBytes int64 // reserved for bodies
+
+	sends         int               // sends that may have reached an endpoint
+	runs          int               // sends that may have run
+	tried         []string          // IDs of endpoints that failed this request
+	failure       string            // reason for the last failure
+	retryAfter    time.Duration     // Retry-After of a refusal
+	fallback      *bufferedResponse // last 5xx response of an endpoint, sent if no better one comes
+	headSent      bool
+	firstEvent    time.Duration // from arrival to the first event; 0 before
+	predicted     time.Duration // prediction of firstEvent, made when the request got its place
+	lastEventID   string        // of the last event passed on
+	longestWrite  time.Duration // longest write of an event to the caller, of this send
+	prefill       prefillState
+	placeRequests int            // requests for places
+	place         *broker.Place  // place at engines of the send in progress
+	fullEngine    string         // ID of the engine that rejected the request at this place
+	failedEngine  string         // ID of the engine that failed at this place
+	timing        responseTiming // of the response at this place
+	alternative   *alternative   // endpoint for the next attempt, found during a silence
+}
+
+// admit checks the request and reads its body. If it returns false, the caller has been
+// answered.
+func (p *proxyRequest) admit(r *http.Request) bool {
+	if p.view.Table == nil {
+		p.refuse("no_configuration", retryAfterStarting)
+		return false
+	}
+	if p.Isolated() {
+		p.refuse("out_of_touch", retryAfterElsewhere)
+		return false
+	}
+	call, err := p.Dialect.Decode(r)
+	if err != nil {
+		p.reject(http.StatusBadRequest, "malformed", err)
+		return false
+	}
+	p.call, p.lastEventID = call, call.LastEvent
+	match, ok := p.view.Table.Match(r.Host, r.URL.EscapedPath())
+	if !ok {
+		p.reject(http.StatusNotFound, "no_route", Error.New("no route for host %q and path %q", r.Host, r.URL.Path))
+		return false
+	}
+	p.route, p.service = match, match.Service(call.ID)
+	if !p.identify() {
+		return false
+	}
+	p.deadline = p.arrived.Add(match.Timeout)
+	if call.Wait > 0 {
+		p.deadline = min(p.deadline, p.arrived.Add(call.Wait))
+	}
+	p.message = uplink.Message{Method: r.Method, Target: r.RequestURI, Host: r.Host}
+	if !p.readBody(r) {
+		return false
+	}
+	if p.refuseStreaming.Load() && p.route.Kind == route.Streaming {
+		p.refuse("stopping", retryAfterElsewhere)
+		return false
+	}
+	if p.quarantined() {
+		p.refuse(p.failure, p.retryAfter)
+		return false
+	}
+	if !p.charge() {
+		return false
+	}
+	p.budget(p.service).Request(p.arrived)
+	return true
+}
+
+// run sends the request until it is answered or given up.
+func (p *proxyRequest) run(ctx context.Context) {
+	ctx, cancel := p.deadlines.Context(ctx, p.deadline.Add(timeoutGrace))
+	defer cancel()
+	defer p.credit()
+	defer p.freeHandle()
+	defer func() {
+		if alt := p.takeAlternative(); alt != nil {
+			alt.release()
+		}
+	}()
+	for {
+		if ctx.Err() != nil {
+			p.contextEnded(ctx)
+			return
+		}
+		if !p.maySend() {
+			p.giveUp()
+			return
+		}
+		next := p.plainStep
+		if p.usesEngines() {
+			next = p.engineStep
+		}
+		switch next(ctx) {
+		case stepAnswered:
+			return
+		case stepGiveUp:
+			p.giveUp()
+			return
+		case stepRetry:
+		}
+	}
+}
+
+// stepResult says how to go on after one step.
+type stepResult int
+
+// timeoutGrace is how long after the deadline an endpoint may still report the timeout
+// itself before the forwarder does. Operators require an answer within 500 ms after the
+// timeout.
+const timeoutGrace = 120 * time.Millisecond
+
+// maySend reports whether the request may be sent, for the first time or again.
+func (p *proxyRequest) maySend() bool {
+	if p.runs > 0 && (!p.route.Repeatable() || p.runs >= p.route.Attempts) {
+		return false
+	}
+	if p.left() < minTimeLeft {
+		p.failure = "no_time_left"
+		return false
+	}
+	return !p.quarantined()
+}
+
+// usesEngines reports whether model engines serve the request.
+func (p *proxyRequest) usesEngines() bool {
+	s := p.view.Table.Service(p.service)
+	return s != nil && s.Engine != nil
+}
+
+// takeBudget takes extra sends from the retry budget. It returns false if too little is
+// left.
+func (p *proxyRequest) takeBudget(extra int) bool {
+	return extra == 0 || p.budget(p.service).Take(p.Now(), extra)
+}
+
+// extraSends returns how many sends of the next attempt count against the retry budget: a
+// repeated send and, if withPrefill is set, a repeated prefill before it.
+func (p *proxyRequest) extraSends(withPrefill bool) int {
+	extra := 0
+	if p.sends > 0 {
+		extra++
+	}
+	if withPrefill && p.prefill.sends > 0 {
+		extra++
+	}
+	return extra
+}
+
+// budgetSpent ends a request for lack of retry budget.
+func (p *proxyRequest) budgetSpent() stepResult {
+	p.trail.Write(p.logLine(eventlog.BudgetSpent, p.failure, nil))
+	p.Scope.Counter("budget_spent").Inc(1)
+	p.failure = "budget_spent"
+	return stepGiveUp
+}
+
+// plainStep sends the request to an endpoint of a plain service.
+func (p *proxyRequest) plainStep(ctx context.Context) stepResult {
+	p.view = p.Directory.View()
+	if alt := p.takeAlternative(); alt != nil {
+		return p.plainAttempt(ctx, alt.reservation)
+	}
+	criteria := p.endpointCriteria()
+	r := p.reserve(ctx, &criteria, p.priority())
+	if r == nil {
+		p.setDefaultFailure(p.noEndpointReason())
+		p.setRetryAfter(criteria, retryAfterUnreachable)
+		return stepGiveUp
+	}
+	if !p.takeBudget(p.extraSends(false)) {
+		r.Done(p.Now(), balance.Abandoned)
+		p.Permits.Return(r.Endpoint.ID)
+		return p.budgetSpent()
+	}
+	return p.plainAttempt(ctx, r)
+}
+
+func (p *proxyRequest) plainAttempt(ctx context.Context, r *balance.Reservation) stepResult {
+	if p.attempt(ctx, r) {
+		return stepAnswered
+	}
+	return stepRetry
+}
+
+// endpointCriteria returns the criteria for an endpoint that runs the request and has not
+// been tried yet.
+func (p *proxyRequest) endpointCriteria() balance.Ask {
+	return balance.Ask{Service: p.service, Exclude: p.tried, Area: p.allowedArea(), Stage: directory.Decode}
+}
+
+// setRetryAfter sets when the caller of a request that cannot be served may retry. If all
+// suitable endpoints back off or have no permit left, that is when the first of them
+// becomes available again.
+func (p *proxyRequest) setRetryAfter(criteria balance.Ask, minimum time.Duration) {
+	backoff, limited := p.Balancer.RestsFor(p.Now(), p.view, criteria)
+	switch {
+	case limited:
+		p.failure = reasonLimited
+	case backoff > 0:
+		p.failure = "endpoints_rest"
+	}
+	p.retryAfter = max(minimum, backoff)
+}
+
+// setDefaultFailure sets the reason why the request cannot be served, unless the failure of
+// an endpoint already gives one.
+func (p *proxyRequest) setDefaultFailure(reason string) {
+	if p.failure == "" {
+		p.failure = reason
+	}
+}
+
+// minTimeLeft is the remaining time below which a send is pointless.
+const minTimeLeft = 30 * time.Millisecond
+
+// left returns the time until the request's deadline.
+func (p *proxyRequest) left() time.Duration { return p.deadline.Sub(p.Now()) }
--- a/internal/forward/silence.go
+++ b/internal/forward/silence.go
@@ -16,56 +16,57 @@
 )
 
 const (
-	// silencePart of the target is how long a repeatable request waits for an
-	// answer to begin before it moves to another endpoint.
-	silencePart = 0.8
-	// silenceEngine bounds the same for engines, whose prompts take time.
-	silenceEngine = 1500 * time.Millisecond
-	// silenceGaps is how many of the longest good pauses between events a
-	// resumable stream waits before it moves on.
-	silenceGaps = 3
+	// silenceTargetRatio times the target is how long a repeatable request waits for the
+	// beginning of a response before it moves to another endpoint.
+	silenceTargetRatio = 0.8
+	// minEngineSilence is the shortest wait for the first event of a stream, since the
+	// prefill takes time.
+	minEngineSilence = 1500 * time.Millisecond
+	// silenceGapTargets times the gap target is how long a resumable stream waits for the
+	// next event before it moves.
+	silenceGapTargets = 3
 )
 
-// silence watches an attempt that may go on elsewhere, and ends it when its
-// endpoint has said nothing for too long and there is somewhere to go: without
-// that, a late answer is better than none. It protects answers that are only
-// slow. A nil silence never ends anything.
-type silence struct {
+// silenceWatch cancels an attempt whose endpoint has been silent for too long, if the
+// request may be sent again and an alternative endpoint is available; without one, a late
+// response is better than none. It guards against slow endpoints only; failures are
+// detected elsewhere. A nil silenceWatch never cancels.
+type silenceWatch struct {
 	first, gap time.Duration
 	cancel     context.CancelFunc
-	find       func() *move // nil: there is nowhere to go now
+	find       func() *alternative // returns nil if no alternative is available now
 	timer      *time.Timer
 
-	held atomic.Bool // the caller does not read
+	suspended atomic.Bool // while an event is being written to the caller
 
-	mu   sync.Mutex
-	over bool
-	move *move
+	mu          sync.Mutex
+	stopped     bool
+	alternative *alternative
 }
 
-// move is where a request goes on, paid for from the retry budget.
-type move struct {
-	place       *broker.Place        // at engines
-	reservation *balance.Reservation // at a plain service
-	paid        int                  // sends
-	drop        func()               // gives everything back
+// alternative is a reservation at another endpoint, paid for from the retry budget.
+type alternative struct {
+	place       *broker.Place        // at model engines
+	reservation *balance.Reservation // at an endpoint of a plain service
+	paidSends   int                  // sends taken from the retry budget
+	release     func()               // gives the reservation and the budget back
 }
 
-// watchSilence arms the silence of an attempt at an endpoint.
-func (p *passage) watchSilence(ctx context.Context, cancel context.CancelFunc, endpoint string) *silence {
+// watchSilence starts the silence watch of an attempt at an endpoint.
+func (p *proxyRequest) watchSilence(ctx context.Context, cancel context.CancelFunc, endpoint string) *silenceWatch {
 	if !p.route.Repeatable() || p.runs+1 >= p.route.Attempts {
 		return nil
 	}
-	s := &silence{first: time.Duration(silencePart * float64(p.route.Target)), cancel: cancel}
+	s := &silenceWatch{first: time.Duration(silenceTargetRatio * float64(p.route.Target)), cancel: cancel}
 	exclude := append(slices.Clone(p.tried), endpoint)
-	if p.engine() {
-		s.find = p.findEngines(ctx, exclude)
+	if p.usesEngines() {
+		s.find = p.engineFinder(ctx, exclude)
 	} else {
-		s.find = p.findEndpoint(ctx, exclude)
+		s.find = p.endpointFinder(ctx, exclude)
 	}
 	if p.route.Kind == route.Streaming {
-		s.first = max(p.route.Target, silenceEngine)
-		s.gap = silenceGaps * p.route.GapTarget
+		s.first = max(p.route.Target, minEngineSilence)
+		s.gap = silenceGapTargets * p.route.GapTarget
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,97 +74,97 @@
 	return s
 }
 
-func (s *silence) fire() {
-	var m *move
-	if !s.held.Load() {
-		m = s.find()
+func (s *silenceWatch) fire() {
+	var alt *alternative
+	if !s.suspended.Load() {
+		alt = s.find()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case s.over && m != nil:
-		m.drop()
-	case s.over:
-	case m == nil:
+	case s.stopped && alt != nil:
+		alt.release()
+	case s.stopped:
+	case alt == nil:
 		s.timer.Reset(s.first)
 	default:
-		s.move = m
+		s.alternative = alt
 		s.cancel()
 	}
 }
 
-// hold suspends the watch while an event is written. Under backpressure nothing is read
-// from the endpoint, so that its silence means nothing.
-func (s *silence) hold() {
+// suspend stops counting silence while an event is written to the caller. Under
+// backpressure nothing is read from the endpoint, so its silence means nothing.
+func (s *silenceWatch) suspend() {
 	if s != nil {
-		s.held.Store(true)
+		s.suspended.Store(true)
 	}
 }
 
-// heard starts the time anew.
-func (s *silence) heard() {
+// reset restarts the timer after the endpoint has sent something.
+func (s *silenceWatch) reset() {
 	if s == nil {
 		return
 	}
-	s.held.Store(false)
+	s.suspended.Store(false)
 	if s.gap > 0 {
 		s.timer.Reset(s.gap)
 	}
 }
 
-// stop ends the watch. It returns where the request goes on, if that was what
-// ended the attempt.
-func (s *silence) stop() *move {
+// stop ends the watch. It returns the alternative if the watch canceled the attempt.
+func (s *silenceWatch) stop() *alternative {
 	if s == nil {
 		return nil
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.over = true // first, so that a watch that is just ending is not armed again
+	s.stopped = true // first, so that a concurrent fire does not rearm the timer
 	s.timer.Stop()
-	return s.move
+	return s.alternative
 }
 
-// findEngines returns a function that finds other engines. It may be called from
-// another goroutine, so what it needs of the passage is taken now.
-func (p *passage) findEngines(ctx context.Context, exclude []string) func() *move {
-	ask := p.placeAsk("m" + strconv.Itoa(p.sends))
-	ask.Late, ask.Part = true, placement.Both
+// engineFinder returns a function that finds a place at other engines. The function may run
+// in another goroutine, so the request for the place, the number of prefills and the budget
+// are captured here.
+func (p *proxyRequest) engineFinder(ctx context.Context, exclude []string) func() *alternative {
+	req := p.newPlaceRequest("m" + strconv.Itoa(p.sends))
+	req.Late, req.Part = true, placement.Both
 	again, budget := p.prefill.sends > 0, p.budget(p.service)
-	return func() *move {
-		left := p.left() - lateReserve
+	return func() *alternative {
+		left := p.left() - minAnswerTime
 		if left <= 0 {
 			return nil
 		}
-		ask := ask
-		ask.Budget = min(lateBudget, left)
-		ask.Exclude = slices.Concat(exclude, p.closed())
-		ask.Avoid = p.Balancer.Ejected(p.Now())
-		place, _ := p.FindPlace(ctx, ask, p.area())
+		req := req
+		req.Budget = min(latePlaceWait, left)
+		req.Exclude = slices.Concat(exclude, p.unavailableEngines())
+		req.Avoid = p.Balancer.Ejected(p.Now())
+		place, _ := p.FindPlace(ctx, req, p.allowedArea())
 		if place == nil {
 			return nil
 		}
-		m := &move{place: place, paid: 1}
+		alt := &alternative{place: place, paidSends: 1}
 		if again && place.Prefill != "" {
-			m.paid++ // its prompt is read once more
+			alt.paidSends++ // another prefill
 		}
-		m.drop = func() {
+		alt.release = func() {
 			p.ReleasePlace(place, "", "", nil)
-			budget.Return(p.Now(), m.paid)
+			budget.Return(p.Now(), alt.paidSends)
 		}
-		if !budget.Take(p.Now(), m.paid) {
+		if !budget.Take(p.Now(), alt.paidSends) {
 			p.ReleasePlace(place, "", "", nil)
 			return nil
 		}
-		return m
+		return alt
 	}
 }
 
-// findEndpoint is the same for plain services.
-func (p *passage) findEndpoint(ctx context.Context, exclude []string) func() *move {
+// endpointFinder is engineFinder for plain services.
+func (p *proxyRequest) endpointFinder(ctx context.Context, exclude []string) func() *alternative {
 	service, budget, priority := p.service, p.budget(p.service), p.priority()
-	return func() *move {
-		r := p.reserve(ctx, &balance.Ask{Service: service, Exclude: exclude, Area: p.area(), Stage: directory.Decode}, priority)
+	return func() *alternative {
+		r := p.reserve(ctx, &balance.Ask{Service: service, Exclude: exclude, Area: p.allowedArea(), Stage: directory.Decode}, priority)
 		if r == nil {
 			return nil
 		}
@@ -172,7 +173,7 @@
 			p.Permits.Return(r.Endpoint.ID)
 			return nil
 		}
-		return &move{reservation: r, paid: 1, drop: func() {
+		return &alternative{reservation: r, paidSends: 1, release: func() {
 			r.Done(p.Now(), balance.Abandoned)
 			p.Permits.Return(r.Endpoint.ID)
 			budget.Return(p.Now(), 1)
@@ -180,9 +181,9 @@
 	}
 }
 
-// takeMove returns where the request goes on after a silence, once.
-func (p *passage) takeMove() *move {
-	m := p.next
-	p.next = nil
-	return m
+// takeAlternative returns the alternative found during a silence, once.
+func (p *proxyRequest) takeAlternative() *alternative {
+	alt := p.alternative
+	p.alternative = nil
+	return alt
 }
--- a/internal/forward/silence_test.go
+++ b/internal/forward/silence_test.go
@@ -8,19 +8,19 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A stream whose caller does not read stays where it is: the endpoint is not what is
-// silent, and to go on elsewhere would have the prompt read again for nobody.
-func TestUnreadStreamStaysWhereItIs(t *testing.T) {
+// A stream whose caller does not read is not moved: the silence is not the endpoint's, and
+// moving would repeat the prefill for nothing.
+func TestUnreadStreamIsNotMoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		g := newGuarded(t)
+		g := newEngineRequest(t)
 		s := g.watchSilence(t.Context(), func() {}, "d2")
-		s.heard()
-		s.hold()
+		s.reset()
+		s.suspend()
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
 		c.Check(g.asked, qt.HasLen, 0)
-		s.heard() // he reads again; now the endpoint is silent
+		s.reset() // the caller reads again; now the endpoint is silent
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
 		c.Check(len(g.asked) > 0, qt.IsTrue)
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -13,43 +13,43 @@
 	"github.com/trailshed/trailshed/internal/uplink"
 )
 
-// eventBytes bounds one event of a stream.
-const eventBytes = 64 << 10
+// maxEventBytes bounds one event of a stream.
+const maxEventBytes = 64 << 10
 
-// stream passes events on as they come. It returns false if the stream broke
-// and may go on at another endpoint.
-func (p *passage) stream(parent context.Context, r *balance.Reservation, x *uplink.Exchange, a Answer, s *silence) bool {
-	if !a.Signed || a.Encoded {
+// forwardStream passes events on as they arrive. It returns false if the stream broke and
+// may resume at another endpoint.
+func (p *proxyRequest) forwardStream(parent context.Context, r *balance.Reservation, x *uplink.Exchange, head Answer, silence *silenceWatch) bool {
+	if !head.Signed || head.Encoded {
 		x.Close(false)
-		p.sendFailed(parent, r, Error.New("the stream is not the endpoint's own"))
+		p.sendFailed(parent, r, Error.New("the stream is unsigned or was re-encoded on the way"))
 		return false
 	}
-	p.unread = 0
+	p.longestWrite = 0
 	events := bufio.NewReader(x.Response.Body)
 	for {
 		event, id, err := readEvent(events)
 		if err != nil {
 			return p.streamEnded(parent, r, x, event, err)
 		}
-		s.hold()
-		began := p.Now()
-		passed := p.passEvent(x, event)
-		p.unread = max(p.unread, p.Now().Sub(began))
-		s.heard()
-		if !passed {
+		silence.suspend()
+		start := p.Now()
+		written := p.writeEvent(x, event)
+		p.longestWrite = max(p.longestWrite, p.Now().Sub(start))
+		silence.reset()
+		if !written {
 			x.Close(false)
 			r.Done(p.Now(), balance.Abandoned)
-			p.trail.Write(p.line(eventlog.Cancelled, "caller_left", nil))
+			p.trail.Write(p.logLine(eventlog.Cancelled, "caller_left", nil))
 			return true
 		}
-		p.seen.event(p.Now())
+		p.timing.event(p.Now())
 		if id != "" {
-			p.last = id
+			p.lastEventID = id
 		}
 	}
 }
 
-func (p *passage) passEvent(x *uplink.Exchange, event []byte) bool {
+func (p *proxyRequest) writeEvent(x *uplink.Exchange, event []byte) bool {
 	if !p.headSent {
 		copyHeader(p.w.Header(), p.Dialect.Passed(x.Response.Header))
 		p.w.WriteHeader(x.Response.StatusCode)
@@ -66,26 +66,26 @@
 	return p.w.control.Flush() == nil
 }
 
-// unreadTime is the stall of a caller from which on a broken stream is put down to it:
-// endpoints cut off after some seconds what nobody reads. Data in flight still arrives
-// then, so that the cut is seen later.
-const unreadTime = time.Second
+// callerStallTime is the length of a write to the caller from which on a broken stream is
+// attributed to the caller: endpoints cut a stream that is not read for some seconds. Data
+// in flight still arrives after that, so the cut is noticed later.
+const callerStallTime = time.Second
 
-// cutUnread notes a stream that its endpoint cut for the caller's stall. That is no failure
-// of the endpoint; the stream may resume elsewhere.
-func (p *passage) cutUnread(r *balance.Reservation, err error) {
+// streamCutForStall records a stream that the endpoint cut because the caller stalled. This
+// is not a failure of the endpoint, and the stream may resume elsewhere.
+func (p *proxyRequest) streamCutForStall(r *balance.Reservation, err error) {
 	p.failure = "answer_unread"
 	p.Scope.Counter("answers_cut_unread").Inc(1)
 	p.endpointFailed(r, balance.Abandoned, err)
 }
 
-// streamEnded judges the end of an endpoint's stream: whole only if it ended
-// where HTTP says it does, between two events.
-func (p *passage) streamEnded(parent context.Context, r *balance.Reservation, x *uplink.Exchange, rest []byte, err error) bool {
+// streamEnded handles the end of an endpoint's stream. The stream is complete only if it
+// ended where HTTP says so, and between two events.
+func (p *proxyRequest) streamEnded(parent context.Context, r *balance.Reservation, x *uplink.Exchange, rest []byte, err error) bool {
 	if !errors.Is(err, io.EOF) || len(rest) > 0 {
 		x.Close(false)
-		if p.unread >= unreadTime {
-			p.cutUnread(r, err)
+		if p.longestWrite >= callerStallTime {
+			p.streamCutForStall(r, err)
 			return false
 		}
 		p.sendFailed(parent, r, err)
@@ -93,18 +93,18 @@
 		return false
 	}
 	if !p.headSent {
-		p.passEvent(x, nil)
+		p.writeEvent(x, nil)
 	}
 	x.Close(true)
 	p.Suspects.Completed(p.work())
-	p.seen.ended = true
+	p.timing.ended = true
 	r.Done(p.Now(), balance.Good)
-	p.answered(x.Response.StatusCode, nil)
+	p.recordAnswer(x.Response.StatusCode, nil)
 	return true
 }
 
-// readEvent reads up to and with the empty line that ends an event, and finds
-// its id. What it read of an unfinished event comes with the error.
+// readEvent reads one event up to and including the empty line that ends it, and returns
+// its ID. If it fails, it returns the bytes of the unfinished event with the error.
 func readEvent(r *bufio.Reader) (event []byte, id string, err error) {
 	partial := false
 	for {
@@ -113,8 +113,8 @@
 		if err != nil && !errors.Is(err, bufio.ErrBufferFull) {
 			return event, "", err
 		}
-		if len(event) > eventBytes {
-			return event, "", Error.New("an event is over %d bytes", eventBytes)
+		if len(event) > maxEventBytes {
+			return event, "", Error.New("an event exceeds %d bytes", maxEventBytes)
 		}
 		whole := !partial
 		partial = err != nil
--- /dev/null
+++ b/internal/forward/timeout_writer.go
@@ -0,0 +1,28 @@
+package forward
+
+import (
+	"net/http"
+	"time"
+)
+
+// timeoutWriter sets a timeout for each write of a response: a caller that stops reading
+// would otherwise hold the request, and its endpoint, without bound.
+type timeoutWriter struct {
+	http.ResponseWriter
+	control *http.ResponseController
+	timeout time.Duration
+}
+
+func newTimeoutWriter(w http.ResponseWriter, timeout time.Duration) *timeoutWriter {
+	return &timeoutWriter{ResponseWriter: w, control: http.NewResponseController(w), timeout: timeout}
+}
+
+// Write renews the timeout on each call, so that a slow but steady reader gets the whole
+// response.
+func (w *timeoutWriter) Write(b []byte) (int, error) {
+	_ = w.control.SetWriteDeadline(time.Now().Add(w.timeout)) // fails on a closed connection; the write reports that
+	return w.ResponseWriter.Write(b)
+}
+
+// Unwrap supports http.ResponseController.
+func (w *timeoutWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
--- a/internal/forward/guards_test.go
+++ b/internal/forward/unavailable_test.go
@@ -25,26 +25,26 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// The engines of these tests: one reads prompts, one decodes.
+// The engines of these tests, and how long they back off.
 const (
-	reader  = "p1"
-	decoder = "d1"
-	// restLength outlasts a test.
-	restLength = time.Hour
+	prefillEngine = "p1"
+	decodeEngine  = "d1"
+	// backoffTime is longer than any test.
+	backoffTime = time.Hour
 )
 
-// guarded is a request to engines, and what was done for it.
-type guarded struct {
-	*passage
-	dials    atomic.Int64 // to endpoints, none of which answers
+// engineRequest is a request to model engines that records what was done for it.
+type engineRequest struct {
+	*proxyRequest
+	dials    atomic.Int64 // to endpoints, none of which is reachable
 	withheld map[string]time.Duration
 	asked    []placement.Ask
 }
 
-func newGuarded(t *testing.T) *guarded {
+func newEngineRequest(t *testing.T) *engineRequest {
 	t.Helper()
 	c := qt.New(t)
-	g := &guarded{withheld: map[string]time.Duration{}}
+	g := &engineRequest{withheld: map[string]time.Duration{}}
 	now := clock.System()
 	table, err := route.NewTable(route.Document{
 		Version: 1,
@@ -57,7 +57,7 @@
 	c.Assert(err, qt.IsNil)
 	d := directory.New()
 	d.Apply(now(), directory.Configured{Table: table, Revision: 1})
-	for n, e := range []directory.Endpoint{{ID: reader, Stage: directory.Prefill}, {ID: decoder, Stage: directory.Decode}} {
+	for n, e := range []directory.Endpoint{{ID: prefillEngine, Stage: directory.Prefill}, {ID: decodeEngine, Stage: directory.Decode}} {
 		e.Entry, e.Service, e.Zone, e.Slots, e.Revision = e.ID, "llm", "a", 8, int64(n+2)
 		e.Address = netip.MustParseAddrPort("127.0.0.1:1")
 		d.Apply(now(), directory.Seen{Endpoint: e})
@@ -65,7 +65,7 @@
 	pool := uplink.NewPool(tally.NoopScope, now)
 	pool.Dial = func(context.Context, netip.AddrPort) (net.Conn, error) {
 		g.dials.Add(1)
-		return nil, errors.New("nobody is there")
+		return nil, errors.New("unreachable")
 	}
 	log := eventlog.Open(io.Discard, "n1")
 	t.Cleanup(func() { c.Check(log.Close(), qt.IsNil) })
@@ -80,39 +80,39 @@
 		},
 		FindPlace: func(_ context.Context, a placement.Ask, _ residency.Area) (*broker.Place, *placement.Refusal) {
 			g.asked = append(g.asked, a)
-			return &broker.Place{Grant: placement.Grant{Decode: decoder, Prefill: reader}, Zone: "a"}, nil
+			return &broker.Place{Grant: placement.Grant{Decode: decodeEngine, Prefill: prefillEngine}, Zone: "a"}, nil
 		},
 		Suspects:     suspects.New(suspects.Options{Scope: tally.NoopScope, Now: now}),
 		ReleasePlace: func(*broker.Place, string, string, *placement.Seen) {},
 	})
 	match, ok := table.Match("h", "/x")
 	c.Assert(ok, qt.IsTrue)
-	g.passage = &passage{
+	g.proxyRequest = &proxyRequest{
 		Forwarder: f, arrived: now(), view: d.View(), trail: log.Trail(), route: match, service: "llm",
-		limit: now().Add(time.Minute), call: Call{ID: "r1", Prompt: 100, Output: 10},
+		deadline: now().Add(time.Minute), call: Call{ID: "r1", Prompt: 100, Output: 10},
 	}
 	return g
 }
 
-// Ways in which an engine takes nothing now.
-var shut = []struct {
-	name string
-	shut func(g *guarded, engine string)
+// Conditions in which an engine accepts no requests.
+var unavailable = []struct {
+	name            string
+	makeUnavailable func(g *engineRequest, engine string)
 }{
-	{"it rests", func(g *guarded, engine string) { g.Balancer.Rest(g.Now(), engine, restLength) }},
-	{"its limit has no room", func(g *guarded, engine string) { g.withheld[engine] = restLength }},
+	{"backing off", func(g *engineRequest, engine string) { g.Balancer.Rest(g.Now(), engine, backoffTime) }},
+	{"no permit left", func(g *engineRequest, engine string) { g.withheld[engine] = backoffTime }},
 }
 
-// A place at an engine that takes nothing now is given back, whichever of the two it is:
-// nothing is sent, and the next ask names the engine.
-func TestPlacesAtShutEngines(t *testing.T) {
-	for _, test := range shut {
-		for _, engine := range []string{reader, decoder} {
+// A place is given back without any send if either of its engines accepts no requests, and
+// the next request for a place excludes that engine.
+func TestPlacesAtUnavailableEngines(t *testing.T) {
+	for _, test := range unavailable {
+		for _, engine := range []string{prefillEngine, decodeEngine} {
 			t.Run(engine+", "+test.name, func(t *testing.T) {
 				c := qt.New(t)
-				g := newGuarded(t)
-				test.shut(g, engine)
-				c.Assert(g.engineStep(t.Context()), qt.Equals, again)
+				g := newEngineRequest(t)
+				test.makeUnavailable(g, engine)
+				c.Assert(g.engineStep(t.Context()), qt.Equals, stepRetry)
 				c.Assert(g.dials.Load(), qt.Equals, int64(0))
 				c.Assert(g.sends+g.prefill.sends, qt.Equals, 0)
 				g.engineStep(t.Context())
@@ -123,38 +123,38 @@
 	}
 }
 
-// A request that goes on after a silence asks for no engine that takes nothing now, or
-// leaves, as of that moment.
-func TestMovesToShutEngines(t *testing.T) {
-	leaves := func(g *guarded, engine string) { g.Directory.Apply(g.Now(), directory.Leaving{ID: engine}) }
-	for _, test := range append(shut, struct {
-		name string
-		shut func(*guarded, string)
-	}{"it leaves", leaves}) {
+// A request that looks for an alternative after a silence excludes the engines that back
+// off, have no permit or leave at that moment, not only those known when the attempt began.
+func TestAlternativesExcludeUnavailableEngines(t *testing.T) {
+	leaves := func(g *engineRequest, engine string) { g.Directory.Apply(g.Now(), directory.Leaving{ID: engine}) }
+	for _, test := range append(unavailable, struct {
+		name            string
+		makeUnavailable func(*engineRequest, string)
+	}{"leaving", leaves}) {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			g := newGuarded(t)
-			find := g.findEngines(t.Context(), nil)
-			test.shut(g, decoder)
+			g := newEngineRequest(t)
+			find := g.engineFinder(t.Context(), nil)
+			test.makeUnavailable(g, decodeEngine)
 			find()
 			c.Assert(g.asked, qt.HasLen, 1)
-			c.Assert(g.asked[0].Exclude, qt.Contains, decoder)
+			c.Assert(g.asked[0].Exclude, qt.Contains, decodeEngine)
 		})
 	}
 }
 
-// The KV cache at an engine that takes nothing now is left to lapse.
-func TestFreeingAtShutEngines(t *testing.T) {
-	for _, test := range shut {
+// A KV cache at an engine that accepts no requests is not freed but left to expire.
+func TestNoFreeingAtUnavailableEngines(t *testing.T) {
+	for _, test := range unavailable {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			g := newGuarded(t)
-			test.shut(g, reader)
-			g.prefill.handle = &Handle{At: netip.MustParseAddrPort("127.0.0.1:1"), Life: reader, ID: "k"}
+			g := newEngineRequest(t)
+			test.makeUnavailable(g, prefillEngine)
+			g.prefill.handle = &Handle{At: netip.MustParseAddrPort("127.0.0.1:1"), Life: prefillEngine, ID: "k"}
 			g.freeHandle()
-			time.Sleep(50 * time.Millisecond) // it would be freed beside this
+			time.Sleep(50 * time.Millisecond) // freeing runs in its own goroutine
 			c.Assert(g.dials.Load(), qt.Equals, int64(0))
-			g.prefill.handle = &Handle{At: netip.MustParseAddrPort("127.0.0.1:1"), Life: decoder, ID: "k"}
+			g.prefill.handle = &Handle{At: netip.MustParseAddrPort("127.0.0.1:1"), Life: decodeEngine, ID: "k"}
 			g.freeHandle()
 			for deadline := time.Now().Add(20 * time.Second); g.dials.Load() == 0; time.Sleep(time.Millisecond) {
 				c.Assert(time.Now().Before(deadline), qt.IsTrue)
@@ -163,52 +163,52 @@
 	}
 }
 
-// A stream that has begun waits for a permit, at its engine or at its planner, for as long
-// as its caller waits for the next event; a request that has not begun goes elsewhere.
+// A stream that has begun waits for a permit, at its engine or its planner, as long as the
+// caller tolerates a gap between events. A request that has not begun is sent elsewhere.
 func TestStreamsWaitForPermits(t *testing.T) {
 	const short, long = 30 * time.Millisecond, 10 * time.Second
 	tests := []struct {
-		name   string
-		begun  bool
-		denied time.Duration
-		asks   int // for a permit of the decode engine
+		name  string
+		begun bool
+		wait  time.Duration
+		asks  int // requests for a permit of the decode engine
 	}{
-		{"it has begun", true, short, 2},
-		{"it has begun, and would wait too long", true, long, 1},
-		{"it has not begun", false, short, 1},
+		{"begun", true, short, 2},
+		{"begun, and the wait would be too long", true, long, 1},
+		{"not begun", false, short, 1},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			g := newGuarded(t)
+			g := newEngineRequest(t)
 			g.headSent = test.begun
-			asks, urgency := 0, 0
+			asks, gotPriority := 0, 0
 			g.Permits.Take = func(_ context.Context, _ string, priority int) time.Duration {
-				asks, urgency = asks+1, priority
-				return test.denied
+				asks, gotPriority = asks+1, priority
+				return test.wait
 			}
-			c.Assert(g.engineStep(t.Context()), qt.Equals, again)
+			c.Assert(g.engineStep(t.Context()), qt.Equals, stepRetry)
 			c.Check(asks, qt.Equals, test.asks)
-			c.Check(urgency < 0, qt.Equals, test.begun)
+			c.Check(gotPriority < 0, qt.Equals, test.begun)
 			g.FindPlace = func(context.Context, placement.Ask, residency.Area) (*broker.Place, *placement.Refusal) {
-				return nil, &placement.Refusal{Reason: placement.ReasonLimited, After: test.denied}
+				return nil, &placement.Refusal{Reason: placement.ReasonLimited, After: test.wait}
 			}
-			want := hopeless
-			if test.begun && test.denied == short {
-				want = again
+			want := stepGiveUp
+			if test.begun && test.wait == short {
+				want = stepRetry
 			}
 			c.Check(g.engineStep(t.Context()), qt.Equals, want)
 		})
 	}
 }
 
-// A prompt is not sent to an engine that has come to want none since its place was found.
-func TestReadingAtShutEngines(t *testing.T) {
+// A prompt is not sent to an engine that began to back off after the place was found.
+func TestNoPrefillAtUnavailableEngines(t *testing.T) {
 	c := qt.New(t)
-	g := newGuarded(t)
-	g.place = &broker.Place{Grant: placement.Grant{Decode: decoder, Prefill: reader}}
-	g.Balancer.Rest(g.Now(), reader, restLength)
-	c.Assert(g.readPrompt(t.Context(), reader), qt.IsFalse)
+	g := newEngineRequest(t)
+	g.place = &broker.Place{Grant: placement.Grant{Decode: decodeEngine, Prefill: prefillEngine}}
+	g.Balancer.Rest(g.Now(), prefillEngine, backoffTime)
+	c.Assert(g.runPrefill(t.Context(), prefillEngine), qt.IsFalse)
 	c.Assert(g.dials.Load(), qt.Equals, int64(0))
-	c.Assert(g.full, qt.Equals, reader)
+	c.Assert(g.fullEngine, qt.Equals, prefillEngine)
 }
--- a/internal/forward/workspace.go
+++ b/internal/forward/workspace.go
@@ -8,17 +8,18 @@
 	"github.com/trailshed/trailshed/internal/route"
 )
 
-// Limiter says whether workspaces keep to their limits over all instances.
+// Limiter enforces the limits of workspaces across all instances.
 type Limiter struct {
-	// Admit counts a request of so many units, unless that is too many.
+	// Admit counts a request of the given units against the workspace's limit, unless it
+	// would exceed that.
 	Admit func(w *route.Workspace, units float64) admission.Verdict
-	// Credit takes back what Admit counted for a request that did not run.
+	// Credit returns the units of a request that did not run.
 	Credit func(w *route.Workspace, units float64)
 }
 
-// identify finds whose request it is, by its key. It answers what it refuses. No
-// line and no answer tells anything of the key.
-func (p *passage) identify() bool {
+// identify finds the caller's workspace by its API key. If it returns false, the caller has
+// been answered. The key is neither logged nor returned.
+func (p *proxyRequest) identify() bool {
 	if !p.view.Table.Keyed() {
 		return true
 	}
@@ -33,13 +34,13 @@
 		reason = "unknown_key"
 	}
 	p.Scope.Tagged(map[string]string{"reason": reason}).Counter("keys_refused").Inc(1)
-	p.reject(http.StatusUnauthorized, reason, Error.New("the request has no key that is known here"))
+	p.reject(http.StatusUnauthorized, reason, Error.New("the request has no API key or an unknown one"))
 	return false
 }
 
-// charge counts the request to its workspace. What is over the workspace's limit
-// is refused here, before it holds a place, memory or retry allowance.
-func (p *passage) charge() bool {
+// charge counts the request against the workspace's limit. A request over the limit is
+// refused here, before it takes a place, memory or retry budget.
+func (p *proxyRequest) charge() bool {
 	if p.workspace == nil || !p.workspace.Limit.Bound() {
 		return true
 	}
@@ -47,22 +48,22 @@
 	v := p.Limits.Admit(p.workspace, units)
 	p.countWorkspace(v.Admitted)
 	if v.Admitted {
-		p.charged = units
+		p.chargedUnits = units
 		return true
 	}
-	p.refuseOver(v)
+	p.refuseOverLimit(v)
 	return false
 }
 
-// credit takes back what was charged, if the request did not run: only what ran
-// counts.
-func (p *passage) credit() {
-	if p.charged > 0 && p.runs == 0 {
-		p.Limits.Credit(p.workspace, p.charged)
+// credit returns the charged units if the request did not run: only requests that ran
+// count.
+func (p *proxyRequest) credit() {
+	if p.chargedUnits > 0 && p.runs == 0 {
+		p.Limits.Credit(p.workspace, p.chargedUnits)
 	}
 }
 
-func (p *passage) countWorkspace(admitted bool) {
+func (p *proxyRequest) countWorkspace(admitted bool) {
 	name := "workspace_admitted"
 	if !admitted {
 		name = "workspace_over_limit"
@@ -70,24 +71,24 @@
 	p.Scope.Tagged(map[string]string{"workspace": p.workspace.Name}).Counter(name).Inc(1)
 }
 
-// refuseOver tells the caller that its workspace is over its limit.
-func (p *passage) refuseOver(v admission.Verdict) {
+// refuseOverLimit tells the caller that its workspace is over its limit.
+func (p *proxyRequest) refuseOverLimit(v admission.Verdict) {
 	p.failure = "over_limit"
-	n := p.line(eventlog.Refused, p.failure, nil)
+	n := p.logLine(eventlog.Refused, p.failure, nil)
 	n.Age, n.Detail = v.Age, v.String()
 	p.refuseWith(http.StatusTooManyRequests, v.After, n)
 }
 
-// priority is what engines are told: the workspace's, if it has one.
-func (p *passage) priority() int {
+// priority returns the workspace's priority if it has one, or else the route's.
+func (p *proxyRequest) priority() int {
 	if p.workspace != nil && p.workspace.Ranked {
 		return p.workspace.Priority
 	}
 	return p.route.Priority
 }
 
-// workspaceName is what endpoints are told.
-func (p *passage) workspaceName() string {
+// workspaceName returns the workspace's name, or "" without a workspace.
+func (p *proxyRequest) workspaceName() string {
 	if p.workspace == nil {
 		return ""
 	}
