--- a/internal/uplink/ended_test.go
+++ b/internal/uplink/ended_test.go
@@ -14,7 +14,7 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// Only a port that refuses says that an endpoint's process has ended.
+// Only a refused connection proves that an endpoint's process has ended.
 func TestEnded(t *testing.T) {
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
@@ -27,13 +27,13 @@
 	tests := []struct {
 		name  string
 		at    netip.AddrPort
-		dial  error // instead of the network's answer
+		dial  error // overrides the real dial
 		ended bool
 	}{
-		{"it listens", alive, nil, false},
-		{"nobody listens", dead, nil, true},
-		{"silent", dead, context.DeadlineExceeded, false},
-		{"cut off", dead, errors.New("no route to host"), false},
+		{"listening", alive, nil, false},
+		{"not listening", dead, nil, true},
+		{"no response", dead, context.DeadlineExceeded, false},
+		{"unreachable", dead, errors.New("no route to host"), false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/uplink/exchange.go
+++ b/internal/uplink/exchange.go
@@ -11,49 +11,49 @@
 	"time"
 )
 
-// ErrNotSent says that no byte of the request left this instance, so that it
-// certainly did not run.
+// ErrNotSent means that no byte of the request left this instance, so the request certainly
+// did not run.
 var ErrNotSent = errors.New("not sent")
 
-// ErrSevered says that the connection ended, or carried something else than an
-// answer, after some of the request had left: it may have run.
-var ErrSevered = errors.New("connection ended without an answer")
+// ErrSevered means that the connection ended, or carried something other than a response,
+// after part of the request had been sent: the request may have run.
+var ErrSevered = errors.New("connection ended without a response")
 
-// Message is one request as it goes to an endpoint.
+// Message is one request to an endpoint.
 type Message struct {
 	To     netip.AddrPort
-	Life   string // of the endpoint there; a kept connection carries no other life's
+	Life   string // ID of the endpoint; connections are reused only for the same ID
 	Method string
-	Target string // path and query, byte for byte as the caller sent them
+	Target string // path and query, exactly as the caller sent them
 	Host   string
 	Header http.Header
 	Body   []byte
-	// HasBody tells an empty body from none.
+	// HasBody distinguishes an empty body from none.
 	HasBody bool
-	// Rest is the longest idle time of a kept connection that may carry it.
+	// Rest is the longest time that a reused connection may have been idle.
 	Rest time.Duration
 }
 
-// Exchange is an answer that is being read.
+// Exchange is a request whose response is being read.
 type Exchange struct {
-	Response *http.Response
-	pool     *Pool
-	conn     *conn
-	stop     func() bool
-	written  chan error
-	closed   bool
+	Response   *http.Response
+	pool       *Pool
+	conn       *conn
+	stopCancel func() bool
+	writeDone  chan error
+	closed     bool
 }
 
-// Do sends m and reads the head of the answer that accept takes; answers that
-// it does not take belong to earlier requests and are skipped. When ctx ends,
-// the connection is closed, which tells the endpoint to stop.
+// Do sends m and reads responses until accept takes one; responses that it rejects belong
+// to earlier requests and are skipped. When ctx ends, the connection is closed, which makes
+// the endpoint stop.
 func (p *Pool) Do(ctx context.Context, m Message, accept func(*http.Response) bool) (*Exchange, error) {
-	c, err := p.take(ctx, target{m.To, m.Life}, m.Rest)
+	c, err := p.get(ctx, connKey{m.To, m.Life}, m.Rest)
 	if err != nil {
 		return nil, Error.Wrap(errors.Join(ErrNotSent, err))
 	}
-	e := &Exchange{pool: p, conn: c, written: make(chan error, 1)}
-	e.stop = context.AfterFunc(ctx, func() { _ = c.Close() })
+	e := &Exchange{pool: p, conn: c, writeDone: make(chan error, 1)}
+	e.stopCancel = context.AfterFunc(ctx, func() { _ = c.Close() })
 	if err := e.send(m); err != nil {
 		e.Close(false)
 		return nil, Error.Wrap(err)
@@ -65,10 +65,11 @@
 	return e, nil
 }
 
-// send writes the request. What fits one packet is written at once; a longer
-// body goes along while the answer is awaited, as an endpoint may answer early.
+// send writes the head and up to maxFirstWrite bytes of the body in one call. The rest of a
+// longer body is written concurrently, because an endpoint may respond before it has read
+// the whole body.
 func (e *Exchange) send(m Message) error {
-	packet := append(head(m), m.Body[:min(len(m.Body), firstWrite)]...)
+	packet := append(encodeHead(m), m.Body[:min(len(m.Body), maxFirstWrite)]...)
 	n, err := e.conn.Write(packet)
 	if err != nil && n == 0 {
 		return errors.Join(ErrNotSent, err)
@@ -76,24 +77,24 @@
 	if err != nil {
 		return errors.Join(ErrSevered, err)
 	}
-	rest := m.Body[min(len(m.Body), firstWrite):]
+	rest := m.Body[min(len(m.Body), maxFirstWrite):]
 	if len(rest) == 0 {
-		e.written <- nil
+		e.writeDone <- nil
 		return nil
 	}
 	go func() {
 		_, err := e.conn.Write(rest)
-		e.written <- err
+		e.writeDone <- err
 	}()
 	return nil
 }
 
-// firstWrite is how much of a body is written before the answer is awaited; it
-// fits the small windows of the network.
-const firstWrite = 8 << 10
+// maxFirstWrite bounds the part of a body that is written before waiting for the response;
+// it fits into a small initial TCP window.
+const maxFirstWrite = 8 << 10
 
-func head(m Message) []byte {
-	b := make([]byte, 0, 1024+min(len(m.Body), firstWrite))
+func encodeHead(m Message) []byte {
+	b := make([]byte, 0, 1024+min(len(m.Body), maxFirstWrite))
 	b = append(b, m.Method...)
 	b = append(b, ' ')
 	b = append(b, m.Target...)
@@ -116,15 +117,15 @@
 	return append(b, "\r\n"...)
 }
 
-// receive reads answers until accept takes one.
+// receive reads responses until accept takes one.
 func (e *Exchange) receive(method string, accept func(*http.Response) bool) error {
-	asked := &http.Request{Method: method}
+	request := &http.Request{Method: method}
 	for {
-		resp, err := http.ReadResponse(e.conn.reader, asked) //nolint:bodyclose // Close ends the connection, or keeps it once the body was read
+		resp, err := http.ReadResponse(e.conn.reader, request) //nolint:bodyclose // Exchange.Close closes the connection, or reuses it once the body was read
 		if err != nil {
 			return err
 		}
-		e.pool.Heard(e.conn.to.life, resp)
+		e.pool.Heard(e.conn.key.endpointID, resp)
 		if resp.StatusCode < http.StatusOK && resp.StatusCode != http.StatusSwitchingProtocols {
 			continue
 		}
@@ -134,7 +135,7 @@
 		}
 		e.pool.scope.Counter("uplink_foreign_answers").Inc(1)
 		if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
-			return errors.New("an answer to another request has no length")
+			return errors.New("a response to another request has no length")
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 			return err
@@ -142,38 +143,38 @@
 	}
 }
 
-// Close ends the exchange. The connection is kept if whole is true and nothing
-// speaks against it: the request was written entirely, the answer ended where
-// its length says, and the endpoint did not ask to close.
+// Close ends the exchange. The connection is reused only if whole is true, the request was
+// written completely, the response had a defined end, and the endpoint did not ask to close
+// the connection.
 func (e *Exchange) Close(whole bool) {
 	if e.closed {
 		return
 	}
 	e.closed = true
-	alive := e.stop()
-	if !whole || !alive || !e.keepable() {
+	alive := e.stopCancel()
+	if !whole || !alive || !e.reusable() {
 		_ = e.conn.Close()
 		return
 	}
-	e.conn.keep = keepFor(e.Response.Header.Get("Keep-Alive"))
+	e.conn.maxIdle = maxIdleOf(e.Response.Header.Get("Keep-Alive"))
 	e.pool.put(e.conn)
 }
 
-func (e *Exchange) keepable() bool {
+func (e *Exchange) reusable() bool {
 	r := e.Response
 	if r == nil || r.Close || r.ContentLength < 0 && len(r.TransferEncoding) == 0 {
 		return false
 	}
 	select {
-	case err := <-e.written:
+	case err := <-e.writeDone:
 		return err == nil
 	default:
-		return false // the endpoint still reads a body that it answered early
+		return false // the endpoint responded before it had read the whole body
 	}
 }
 
-// keepFor reads the seconds of a Keep-Alive header.
-func keepFor(header string) time.Duration {
+// maxIdleOf returns how long a connection may stay idle, given a Keep-Alive header.
+func maxIdleOf(header string) time.Duration {
 	for part := range strings.SplitSeq(header, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
@@ -181,8 +182,8 @@
 		}
 		seconds, err := strconv.Atoi(strings.TrimSpace(value))
 		if err == nil {
-			return time.Duration(keepPart * float64(time.Duration(seconds)*time.Second))
+			return time.Duration(keepAliveRatio * float64(time.Duration(seconds)*time.Second))
 		}
 	}
-	return keepDefault
+	return defaultMaxIdle
 }
--- a/internal/uplink/heard_test.go
+++ b/internal/uplink/header_test.go
@@ -15,9 +15,8 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// What an endpoint says in the head of an answer is heard also where the answer
-// belongs to another request.
-func TestHeadsThatBelongToOthers(t *testing.T) {
+// The header of a response is reported also if the response belongs to another request.
+func TestHeadersOfOtherResponsesAreReported(t *testing.T) {
 	c := qt.New(t)
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
@@ -36,12 +35,14 @@
 	}()
 	p := uplink.NewPool(tally.NoopScope, clock.System())
 	defer p.Close()
-	var heard []string
-	p.Heard = func(life string, head *http.Response) { heard = append(heard, life+" "+head.Header.Get("Id")) }
+	var reported []string
+	p.Heard = func(endpointID string, head *http.Response) {
+		reported = append(reported, endpointID+" "+head.Header.Get("Id"))
+	}
 	x, err := p.Do(t.Context(), uplink.Message{
 		To: netip.MustParseAddrPort(listener.Addr().String()), Life: "e1", Method: "GET", Target: "/", Host: "h", Rest: time.Second,
 	}, func(r *http.Response) bool { return r.Header.Get("Id") == "own" })
 	c.Assert(err, qt.IsNil)
 	x.Close(false)
-	c.Assert(heard, qt.DeepEquals, []string{"e1 other", "e1 own"})
+	c.Assert(reported, qt.DeepEquals, []string{"e1 other", "e1 own"})
 }
--- a/internal/uplink/pool.go
+++ b/internal/uplink/pool.go
@@ -1,8 +1,7 @@
-// Package uplink carries HTTP/1.1 exchanges to endpoints over kept
-// connections. net/http's transport is not used here because it sends some
-// requests again by itself and hides whether a byte of a request has left,
-// which decides what may be repeated and what may be called "not run"; its
-// parser is used.
+// Package uplink is an HTTP/1.1 client for endpoints with a connection pool. It uses
+// net/http's parser but not its transport, which repeats some requests on its own and hides
+// whether any byte of a request was sent; that decides whether a request may be repeated,
+// and whether it may be reported as not run.
 package uplink
 
 import (
@@ -26,56 +25,57 @@
 var Error = errs.Class("uplink")
 
 const (
-	// dialTimeout bounds a connection's set-up. Round trips between zones take
-	// 3 ms and an endpoint's accept 1 ms, so a silent address is known soon;
-	// a busy one that dropped the opening packet sends it again after a second
-	// and is better left alone. The shortest target of a request is 120 ms.
+	// dialTimeout bounds connecting. Round trips between zones take 3 ms and an endpoint's
+	// accept 1 ms, so an unreachable address is detected quickly. A busy host that dropped
+	// the SYN gets it again after a second, and is better avoided. The shortest target of a
+	// request is 120 ms.
 	dialTimeout = 100 * time.Millisecond
-	// keepDefault is how long an idle connection is kept where the endpoint
-	// names no time of its own.
-	keepDefault = 4 * time.Second
-	// keepPart of the time that an endpoint names is used, so that we close
-	// before it does.
-	keepPart = 0.7
-	// idlePerEndpoint bounds the idle connections kept to one endpoint; the
-	// endpoints' connections are shared by all instances.
-	idlePerEndpoint = 8
-	readBuffer      = 4 << 10
+	// defaultMaxIdle is how long an idle connection is kept if the endpoint names no
+	// timeout.
+	defaultMaxIdle = 4 * time.Second
+	// keepAliveRatio is the part of the endpoint's Keep-Alive timeout that is used, so that
+	// this side closes first.
+	keepAliveRatio = 0.7
+	// maxIdlePerEndpoint bounds the idle connections to one endpoint; all instances share
+	// the endpoint's connection limit.
+	maxIdlePerEndpoint = 8
+	readBufferSize     = 4 << 10
 )
 
-// Pool keeps idle connections by endpoint.
+// Pool holds idle connections by endpoint.
 type Pool struct {
-	// Dial opens a connection; tests replace it.
+	// Dial opens a connection. Tests may replace it.
 	Dial func(ctx context.Context, to netip.AddrPort) (net.Conn, error)
-	// Heard is given the head of each answer of one life of an endpoint, also of
-	// those that belong to no request in progress. It must not read the body.
-	Heard func(life string, head *http.Response)
+	// Heard is called with the endpoint's ID and the header of each response,
+	// including responses that belong to no request in progress. It must not read
+	// the body.
+	Heard func(endpointID string, head *http.Response)
 
 	scope tally.Scope
 	now   func() clock.Millis
 	mu    sync.Mutex
-	idle  map[target][]*conn
+	idle  map[connKey][]*conn
 }
 
-// target is one life of an endpoint: what starts anew at an address knows nothing
-// of the connections that the one before it had.
-type target struct {
-	address netip.AddrPort
-	life    string
+// connKey identifies an endpoint. A new endpoint at the same address knows nothing of the
+// connections of the previous one.
+type connKey struct {
+	address    netip.AddrPort
+	endpointID string
 }
 
-// conn is one connection and what is known of it.
+// conn is a pooled connection.
 type conn struct {
 	net.Conn
-	to       target
-	reader   *bufio.Reader
-	keep     time.Duration
-	restedAt clock.Millis // when its last exchange ended
+	key       connKey
+	reader    *bufio.Reader
+	maxIdle   time.Duration
+	idleSince clock.Millis // end of the last exchange
 }
 
-// NewPool returns a pool that counts in scope. Connections rest also while the machine
-// is suspended, and endpoints close them then as they do at any time, so now must go
-// on meanwhile.
+// NewPool returns a pool that reports its metrics to scope. Endpoints close idle
+// connections also while this machine is suspended, so now must include the time of
+// suspension.
 func NewPool(scope tally.Scope, now func() clock.Millis) *Pool {
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
 	return &Pool{
@@ -83,91 +83,91 @@
 			return dialer.DialContext(ctx, "tcp", to.String())
 		},
 		Heard: func(string, *http.Response) {},
-		scope: scope, now: now, idle: map[target][]*conn{},
+		scope: scope, now: now, idle: map[connKey][]*conn{},
 	}
 }
 
-// take returns a connection to an endpoint: one that rested for less than rest
-// and is still open, or a new one.
-func (p *Pool) take(ctx context.Context, to target, rest time.Duration) (*conn, error) {
+// get returns a connection to an endpoint: one that has been idle for less than maxIdle and
+// is still open, or a new one.
+func (p *Pool) get(ctx context.Context, key connKey, maxIdle time.Duration) (*conn, error) {
 	for {
-		c := p.pop(to)
+		c := p.pop(key)
 		if c == nil {
 			break
 		}
-		rested := p.now().Sub(c.restedAt)
-		if rested < min(rest, c.keep) && quiet(c) {
+		idle := p.now().Sub(c.idleSince)
+		if idle < min(maxIdle, c.maxIdle) && usable(c) {
 			return c, nil
 		}
 		_ = c.Close()
 	}
 	p.scope.Counter("uplink_dials").Inc(1)
-	raw, err := p.Dial(ctx, to.address)
+	raw, err := p.Dial(ctx, key.address)
 	if err != nil {
 		p.scope.Counter("uplink_dial_failed").Inc(1)
 		return nil, err
 	}
-	return &conn{Conn: raw, to: to, reader: bufio.NewReaderSize(raw, readBuffer), keep: keepDefault}, nil
+	return &conn{Conn: raw, key: key, reader: bufio.NewReaderSize(raw, readBufferSize), maxIdle: defaultMaxIdle}, nil
 }
 
-func (p *Pool) pop(to target) *conn {
+func (p *Pool) pop(key connKey) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := p.idle[to]
+	list := p.idle[key]
 	if len(list) == 0 {
 		return nil
 	}
 	c := list[len(list)-1]
 	if len(list) == 1 {
-		delete(p.idle, to)
+		delete(p.idle, key)
 	} else {
-		p.idle[to] = list[:len(list)-1]
+		p.idle[key] = list[:len(list)-1]
 	}
 	return c
 }
 
 func (p *Pool) put(c *conn) {
-	c.restedAt = p.now()
+	c.idleSince = p.now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[c.to]) >= idlePerEndpoint || c.reader.Buffered() > 0 {
+	if len(p.idle[c.key]) >= maxIdlePerEndpoint || c.reader.Buffered() > 0 {
 		_ = c.Close()
 		return
 	}
-	p.idle[c.to] = append(p.idle[c.to], c)
+	p.idle[c.key] = append(p.idle[c.key], c)
 }
 
-// Ended says whether the process of an endpoint has ended: its host refuses a
-// connection to its port. A host that is silent or cut off tells nothing. A
-// connection that comes up is kept for the next request.
-func (p *Pool) Ended(ctx context.Context, to netip.AddrPort, life string) bool {
+// Ended reports whether the process of an endpoint has ended, that is, whether its host
+// refuses connections to its port. A host that does not respond or is unreachable proves
+// nothing. If a connection is established, it is kept for the next request.
+func (p *Pool) Ended(ctx context.Context, to netip.AddrPort, endpointID string) bool {
 	p.scope.Counter("uplink_dials").Inc(1)
 	raw, err := p.Dial(ctx, to)
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}
-	p.put(&conn{Conn: raw, to: target{to, life}, reader: bufio.NewReaderSize(raw, readBuffer), keep: keepDefault})
+	p.put(&conn{Conn: raw, key: connKey{to, endpointID}, reader: bufio.NewReaderSize(raw, readBufferSize), maxIdle: defaultMaxIdle})
 	return false
 }
 
-// Sweep closes connections that have rested for too long.
+// Sweep closes connections that have been idle for too long.
 func (p *Pool) Sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for to, list := range p.idle {
+	for key, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if p.now().Sub(c.restedAt) < c.keep {
+			if p.now().Sub(c.idleSince) < c.maxIdle {
 				kept = append(kept, c)
 				continue
 			}
 			_ = c.Close()
 		}
 		if len(kept) == 0 {
-			delete(p.idle, to)
+			delete(p.idle, key)
 			continue
 		}
-		p.idle[to] = kept
+		p.idle[key] = kept
 	}
 }
 
@@ -175,10 +175,10 @@
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for to, list := range p.idle {
+	for key, list := range p.idle {
 		for _, c := range list {
 			_ = c.Close()
 		}
-		delete(p.idle, to)
+		delete(p.idle, key)
 	}
 }
--- a/internal/uplink/quiet.go
+++ b/internal/uplink/usable.go
@@ -4,16 +4,16 @@
 	"syscall"
 )
 
-// quiet says whether an idle connection is open and holds no unread byte. A
-// byte that arrives without a question is a late second answer, and the
-// connection must not carry another request.
-func quiet(c *conn) bool {
+// usable reports whether an idle connection is open and holds no unread byte. Unsolicited
+// bytes are a late second response to an earlier request, and such a connection must not
+// carry another request.
+func usable(c *conn) bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
 	raw, ok := c.Conn.(syscall.Conn)
 	if !ok {
-		return true // a pipe in a test
+		return true // a net.Pipe in a test
 	}
 	control, err := raw.SyscallConn()
 	if err != nil {
@@ -24,7 +24,7 @@
 	err = control.Read(func(fd uintptr) bool {
 		_, err := syscall.Read(int(fd), one[:])
 		open = err == syscall.EAGAIN
-		return true // never wait
+		return true // do not block
 	})
 	return err == nil && open
 }
