--- a/internal/endpoint/client.go
+++ b/internal/endpoint/client.go
@@ -1,5 +1,5 @@
-// Package endpoint speaks to model engines and plain services. Nothing beyond
-// this package knows their wire format, which is that of our stand-ins.
+// Package endpoint is the client of model engines and plain services. No other package
+// knows their wire format, which is the one of the stand-ins.
 package endpoint
 
 import (
@@ -26,72 +26,72 @@
 var Error = errs.Class("endpoint")
 
 var (
-	// ErrNotRun says that no byte of the request reached the endpoint, or
-	// that the endpoint itself said that it did not run it.
+	// ErrNotRun means that no byte of the request reached the endpoint, or that the
+	// endpoint itself reported that it did not run the request.
 	ErrNotRun = errors.New("not run")
-	// ErrMayHaveRun says that the endpoint may have run the request.
+	// ErrMayHaveRun means that the endpoint may have run the request.
 	ErrMayHaveRun = errors.New("may have run")
-	// ErrTruncated says that a stream ended before its last line.
-	ErrTruncated = errors.New("answer is not whole")
+	// ErrTruncated means that a stream ended before its last line.
+	ErrTruncated = errors.New("incomplete response")
 )
 
 const (
-	dialTimeout  = 500 * time.Millisecond
-	idleTimeout  = 30 * time.Second
-	smallTimeout = time.Second
-	idlePerHost  = 64
+	dialTimeout    = 500 * time.Millisecond
+	idleTimeout    = 30 * time.Second
+	controlTimeout = time.Second
+	maxIdlePerHost = 64
 )
 
 const (
-	// headerLeaving is in all answers of an endpoint that leaves.
+	// headerLeaving is set in all responses of an endpoint that is leaving.
 	headerLeaving = "Leaving"
-	// headerLimit is in all answers of an endpoint that takes so much work a second from
-	// all processes together.
+	// headerLimit is set in all responses of an endpoint that accepts only so many requests
+	// per second from all processes together.
 	headerLimit = "Limit"
 )
 
 // Client calls endpoints over HTTP.
 type Client struct {
-	// Heard is told what an endpoint says of itself in the head of each answer; good says
-	// that it answered well, sent when it was asked.
+	// Heard is called with the notice in the header of each response. good reports whether
+	// the response was successful, sent is when the request was sent.
 	Heard func(at netip.AddrPort, n notice.Notice, good bool, sent time.Time)
 
-	http *http.Client
-	// fresh opens a connection for each call, so that a failure to connect
-	// proves that nothing was sent.
-	fresh  *http.Client
-	dialer *net.Dialer
+	pooled *http.Client // reuses connections
+	// unpooled opens a connection for each call, so that a failure to connect proves that
+	// nothing was sent.
+	unpooled *http.Client
+	dialer   *net.Dialer
 }
 
-// NewClient returns a client with its own connections.
+// NewClient returns a client with its own connection pool.
 func NewClient() *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	c := &Client{dialer: dialer, Heard: func(netip.AddrPort, notice.Notice, bool, time.Time) {}}
-	c.http = &http.Client{Transport: hearing{c, &http.Transport{
-		DialContext: dialer.DialContext, MaxIdleConnsPerHost: idlePerHost,
+	c.pooled = &http.Client{Transport: noticeTransport{c, &http.Transport{
+		DialContext: dialer.DialContext, MaxIdleConnsPerHost: maxIdlePerHost,
 		IdleConnTimeout: idleTimeout, DisableCompression: true,
 	}}}
-	c.fresh = &http.Client{Transport: hearing{c, &http.Transport{
+	c.unpooled = &http.Client{Transport: noticeTransport{c, &http.Transport{
 		DialContext: dialer.DialContext, DisableKeepAlives: true, DisableCompression: true,
 	}}}
 	return c
 }
 
-// hearing is a transport that passes on what endpoints say of themselves.
-type hearing struct {
-	client *Client
-	next   http.RoundTripper
+// noticeTransport is a RoundTripper that reports the notice in each response.
+type noticeTransport struct {
+	client    *Client
+	transport http.RoundTripper
 }
 
-// RoundTrip makes one exchange.
-func (h hearing) RoundTrip(r *http.Request) (*http.Response, error) {
+// RoundTrip implements http.RoundTripper.
+func (t noticeTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	sent := time.Now()
-	resp, err := h.next.RoundTrip(r)
+	resp, err := t.transport.RoundTrip(r)
 	if err != nil {
 		return nil, err
 	}
-	if at, err := netip.ParseAddrPort(r.URL.Host); err == nil { // it always is one
-		h.client.Heard(at, readNotice(resp), resp.StatusCode < http.StatusMultipleChoices, sent)
+	if at, err := netip.ParseAddrPort(r.URL.Host); err == nil { // the host is always an address
+		t.client.Heard(at, readNotice(resp), resp.StatusCode < http.StatusMultipleChoices, sent)
 	}
 	return resp, nil
 }
@@ -104,8 +104,8 @@
 	return n
 }
 
-// Ended says whether the endpoint's process has ended: its host refuses a connection
-// to its port. A host that is silent tells nothing.
+// Ended reports whether the endpoint's process has ended, that is, whether its host refuses
+// connections to its port. A host that does not respond proves nothing.
 func (c *Client) Ended(ctx context.Context, at netip.AddrPort) bool {
 	conn, err := c.dialer.DialContext(ctx, "tcp", at.String())
 	if err != nil {
@@ -115,24 +115,24 @@
 	return false
 }
 
-// Prefill computes a KV cache and returns when it is ready.
+// Prefill computes a KV cache. It returns when the cache is ready.
 func (c *Client) Prefill(ctx context.Context, to netip.AddrPort, p PrefillRequest) (PrefillResult, error) {
 	var r PrefillResult
-	resp, err := c.post(ctx, c.http, to, "/prefill", p)
+	resp, err := c.post(ctx, c.pooled, to, "/prefill", p)
 	if err != nil {
 		return r, err
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if err := json.NewDecoder(resp.Body).Decode(&r); err != nil {
-		return r, wrap(ErrMayHaveRun, err)
+		return r, wrapError(ErrMayHaveRun, err)
 	}
 	return r, nil
 }
 
-// Decode generates and calls token for each one in order. It returns when the
-// answer is whole; ErrTruncated when the stream breaks off before.
+// Decode generates tokens and calls token for each of them in order. It returns when the
+// response is complete, and ErrTruncated if the stream breaks off before that.
 func (c *Client) Decode(ctx context.Context, to netip.AddrPort, d DecodeRequest, token func(Token) error) error {
-	resp, err := c.post(ctx, c.http, to, "/decode", d)
+	resp, err := c.post(ctx, c.pooled, to, "/decode", d)
 	if err != nil {
 		return err
 	}
@@ -140,18 +140,18 @@
 	return readTokens(resp.Body, d.Offset, token)
 }
 
-// readTokens takes each index once and in order: a line that repeats an index
-// is dropped, a gap or a missing end makes the stream truncated.
+// readTokens passes on each index once and in order. It drops a line that repeats an index;
+// a gap or a missing last line makes the stream truncated.
 func readTokens(r io.Reader, next int, token func(Token) error) error {
 	lines := bufio.NewScanner(r)
 	for lines.Scan() {
 		var t Token
 		if err := json.Unmarshal(lines.Bytes(), &t); err != nil {
-			return wrap(ErrTruncated, err)
+			return wrapError(ErrTruncated, err)
 		}
 		if t.Done {
 			if t.Total != next {
-				return wrap(ErrTruncated, fmt.Errorf("%d tokens of %d", next, t.Total))
+				return wrapError(ErrTruncated, fmt.Errorf("%d tokens of %d", next, t.Total))
 			}
 			return token(t)
 		}
@@ -159,22 +159,22 @@
 			continue
 		}
 		if t.Index > next {
-			return wrap(ErrTruncated, fmt.Errorf("token %d follows %d", t.Index, next-1))
+			return wrapError(ErrTruncated, fmt.Errorf("token %d follows %d", t.Index, next-1))
 		}
 		if err := token(t); err != nil {
 			return err
 		}
 		next++
 	}
-	return wrap(ErrTruncated, errors.Join(lines.Err(), io.ErrUnexpectedEOF))
+	return wrapError(ErrTruncated, errors.Join(lines.Err(), io.ErrUnexpectedEOF))
 }
 
-// Cancel frees what the endpoint holds for attempt. Known is false when it
-// holds nothing, be it that the attempt has not arrived yet.
+// Cancel frees what the endpoint holds for an attempt. known is false if it holds nothing,
+// possibly because the attempt has not arrived yet.
 func (c *Client) Cancel(ctx context.Context, to netip.AddrPort, attempt string) (known bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, smallTimeout)
+	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
-	resp, err := c.post(ctx, c.http, to, "/cancel", Held{Attempt: attempt})
+	resp, err := c.post(ctx, c.pooled, to, "/cancel", Held{Attempt: attempt})
 	if err != nil {
 		return false, err
 	}
@@ -186,10 +186,10 @@
 	return answer.Known, Error.Wrap(err)
 }
 
-// Report reads the endpoint's listing, load and the cache events after the
+// Report fetches the endpoint's held attempts, its load, and the cache events after the
 // given sequence number.
 func (c *Client) Report(ctx context.Context, to netip.AddrPort, after int64) (Report, error) {
-	ctx, cancel := context.WithTimeout(ctx, smallTimeout)
+	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	var r Report
 	url := "http://" + to.String() + "/report?after=" + strconv.FormatInt(after, 10)
@@ -197,7 +197,7 @@
 	if err != nil {
 		return r, Error.Wrap(err)
 	}
-	resp, err := c.http.Do(req)
+	resp, err := c.pooled.Do(req)
 	if err != nil {
 		return r, Error.Wrap(err)
 	}
@@ -205,9 +205,9 @@
 	return r, Error.Wrap(json.NewDecoder(resp.Body).Decode(&r))
 }
 
-// Order gives an endpoint a fenced order.
+// Order sends a fenced order to an endpoint.
 func (c *Client) Order(ctx context.Context, to netip.AddrPort, o Order) error {
-	resp, err := c.post(ctx, c.http, to, "/order", o)
+	resp, err := c.post(ctx, c.pooled, to, "/order", o)
 	if err != nil {
 		return err
 	}
@@ -218,59 +218,59 @@
 type Call struct {
 	Attempt string
 	Method  string
-	Path    string // below the service's root, with its query
+	Path    string // relative to the service's root, with the query
 	Header  http.Header
 	Body    []byte
-	Once    bool // the call may not be repeated
+	Once    bool // the call must not be repeated
 }
 
-// Answer is a plain service's whole answer.
+// Answer is a plain service's complete response.
 type Answer struct {
 	Status int         `cbor:"1,keyasint"`
 	Header http.Header `cbor:"2,keyasint"`
 	Body   []byte      `cbor:"3,keyasint"`
 }
 
-// Call passes a request to a plain service and reads the whole answer. A call
-// that may not be repeated is sent once, on a connection of its own.
+// Call sends a request to a plain service and reads the whole response. A call that must
+// not be repeated is sent once, on a connection of its own.
 func (c *Client) Call(ctx context.Context, to netip.AddrPort, call Call) (Answer, error) {
 	url := "http://" + to.String() + "/call/" + call.Path
 	req, err := http.NewRequestWithContext(ctx, call.Method, url, bytes.NewReader(call.Body))
 	if err != nil {
-		return Answer{}, wrap(ErrNotRun, err)
+		return Answer{}, wrapError(ErrNotRun, err)
 	}
 	req.Header = call.Header.Clone()
 	req.Header.Set("X-Attempt", call.Attempt)
-	sender := c.http
+	client := c.pooled
 	if call.Once {
-		sender = c.fresh
+		client = c.unpooled
 		req.GetBody = nil // net/http must not send it again
 	}
-	resp, err := sender.Do(req)
+	resp, err := client.Do(req)
 	if err != nil {
 		return Answer{}, sendError(err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode == http.StatusTooManyRequests && resp.Header.Get("Not-Run") != "" {
-		return Answer{}, wrap(ErrNotRun, errors.New(resp.Status))
+		return Answer{}, wrapError(ErrNotRun, errors.New(resp.Status))
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return Answer{}, wrap(ErrMayHaveRun, err)
+		return Answer{}, wrapError(ErrMayHaveRun, err)
 	}
 	return Answer{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
 }
 
-func (c *Client) post(ctx context.Context, sender *http.Client, to netip.AddrPort, path string, v any) (*http.Response, error) {
+func (c *Client) post(ctx context.Context, client *http.Client, to netip.AddrPort, path string, v any) (*http.Response, error) {
 	body, err := json.Marshal(v)
 	if err != nil {
-		return nil, wrap(ErrNotRun, err)
+		return nil, wrapError(ErrNotRun, err)
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+to.String()+path, bytes.NewReader(body))
 	if err != nil {
-		return nil, wrap(ErrNotRun, err)
+		return nil, wrapError(ErrNotRun, err)
 	}
-	resp, err := sender.Do(req)
+	resp, err := client.Do(req)
 	if err != nil {
 		return nil, sendError(err)
 	}
@@ -281,20 +281,20 @@
 	_ = resp.Body.Close()
 	cause := fmt.Errorf("%s: %s", resp.Status, bytes.TrimSpace(reason))
 	if resp.StatusCode == http.StatusTooManyRequests {
-		return nil, wrap(ErrNotRun, cause)
+		return nil, wrapError(ErrNotRun, cause)
 	}
-	return nil, wrap(ErrMayHaveRun, cause)
+	return nil, wrapError(ErrMayHaveRun, cause)
 }
 
-// sendError tells a connection that was never made from one that broke.
+// sendError distinguishes a failure to connect from a connection that broke.
 func sendError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		return wrap(ErrNotRun, err)
+		return wrapError(ErrNotRun, err)
 	}
-	return wrap(ErrMayHaveRun, err)
+	return wrapError(ErrMayHaveRun, err)
 }
 
-func wrap(kind, cause error) error {
+func wrapError(kind, cause error) error {
 	return Error.Wrap(fmt.Errorf("%w: %w", kind, cause))
 }
--- a/internal/endpoint/client_test.go
+++ b/internal/endpoint/client_test.go
@@ -28,15 +28,15 @@
 		err    error
 	}{
 		{"whole", 0, a + b + end2, "ab", nil},
-		{"resumed at an offset", 1, b + end2, "b", nil},
+		{"resumed from an offset", 1, b + end2, "b", nil},
 		{"offset not honoured", 1, a + b + end2, "b", nil},
 		{"repeated", 0, a + a + b + b + end2, "ab", nil},
-		{"crossed", 0, b + a + end2, "", ErrTruncated},
+		{"reordered", 0, b + a + end2, "", ErrTruncated},
 		{"gap", 0, a + `{"index":2,"text":"c"}` + "\n", "a", ErrTruncated},
 		{"truncated", 0, a, "a", ErrTruncated},
-		{"cut in a line", 0, a + `{"index":1,"te`, "a", ErrTruncated},
-		{"end too early", 0, a + end2, "a", ErrTruncated},
-		{"nothing", 0, "", "", ErrTruncated},
+		{"truncated within a line", 0, a + `{"index":1,"te`, "a", ErrTruncated},
+		{"last line too early", 0, a + end2, "a", ErrTruncated},
+		{"empty", 0, "", "", ErrTruncated},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -52,15 +52,15 @@
 	}
 }
 
-// TestCutSend lets a server reset the connection after each number of bytes of
-// a request. However few it read, the client never says that nothing ran; only
-// where nobody listens does it say so. And what may not be repeated is sent on
-// one connection only.
+// A server resets the connection after each possible number of bytes of a request. However
+// few bytes it read, the client must not report ErrNotRun; it does so only if the
+// connection was refused. A request that must not be repeated is sent on one connection
+// only.
 func TestCutSend(t *testing.T) {
 	c := qt.New(t)
 	call := Call{Attempt: "a.1", Method: "POST", Path: "confirm", Header: http.Header{"Idempotency-Key": {"k"}}, Body: []byte("body"), Once: true}
 	whole := 0
-	for cut := 1; ; cut++ { // at 0 the dial itself may fail, and then nothing ran
+	for cut := 1; ; cut++ { // with 0 bytes the dial itself may fail, which means not run
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		c.Assert(err, qt.IsNil)
 		read := make(chan int, 16)
@@ -79,15 +79,15 @@
 
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
-	nobody := netip.MustParseAddrPort(l.Addr().String())
+	refused := netip.MustParseAddrPort(l.Addr().String())
 	c.Assert(l.Close(), qt.IsNil)
-	_, err = NewClient().Call(context.Background(), nobody, call)
+	_, err = NewClient().Call(context.Background(), refused, call)
 	c.Assert(errors.Is(err, ErrNotRun), qt.IsTrue)
-	_, err = NewClient().Prefill(context.Background(), nobody, PrefillRequest{})
+	_, err = NewClient().Prefill(context.Background(), refused, PrefillRequest{})
 	c.Assert(errors.Is(err, ErrNotRun), qt.IsTrue)
 }
 
-// cutAfter reads so many bytes of each connection, then resets it.
+// cutAfter reads the given number of bytes from each connection, then resets it.
 func cutAfter(l net.Listener, cut int, read chan<- int) {
 	for {
 		conn, err := l.Accept()
