--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,6 +1,6 @@
-// Package route holds the operators' routing table: which pools of endpoints
-// serve a request, how often it may be sent and how long it may take. A Table
-// is immutable; a new version of the configuration makes a new one.
+// Package route holds the operators' routing table: which services handle a request, how
+// often it may be sent and how long it may take. A Table is immutable; each new version of
+// the configuration creates a new one.
 package route
 
 import (
@@ -15,17 +15,17 @@
 // Error marks every error of this package.
 var Error = errs.Class("route")
 
-// Kind says what may be repeated on a route.
+// Kind says whether requests of a route may be repeated.
 type Kind int
 
-// The kinds of route.
+// Kinds of routes.
 const (
-	NonIdempotent Kind = iota // runs at most once; the safe choice for kinds we do not know
+	NonIdempotent Kind = iota // may run at most once; the safe default for unknown kinds
 	Idempotent                // may run more than once
-	Streaming                 // answers with events; repeatable only if Resumable
+	Streaming                 // the response is an event stream; repeatable only if Resumable
 )
 
-// Share is the part of a route's requests that goes to one service.
+// Share is the share of a route's requests that goes to one service.
 type Share struct {
 	Service string
 	Weight  int // relative to the other shares of the route
@@ -35,26 +35,26 @@
 type Route struct {
 	Name      string
 	Host      string // without port, in lower case
-	Prefix    string // path prefix, begins and ends with a slash
+	Prefix    string // path prefix; begins and ends with a slash
 	Kind      Kind
-	Timeout   time.Duration // longest time a request may be held
-	Target    time.Duration // answers (first events of streams) within it are in time
-	GapTarget time.Duration // longest pause between events that is still in time
-	Attempts  int           // most endpoints that may run one request
+	Timeout   time.Duration // maximum time of a request
+	Target    time.Duration // a response, or a stream's first event, within this time is in time
+	GapTarget time.Duration // longest pause between events that is in time
+	Attempts  int           // maximum number of endpoints that may run one request
 	Priority  int           // 0 is the most urgent
-	Resumable bool          // a stream may go on at another endpoint
+	Resumable bool          // a stream may resume at another endpoint
 	Open      bool          // requests need no key
-	Regions   []string      // where requests may be served; none: anywhere
+	Regions   []string      // regions where requests may be served; empty: all
 	Shares    []Share
 }
 
-// Repeatable says whether a request that may have run may be sent again.
+// Repeatable reports whether a request that may have run may be sent again.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || r.Kind == Streaming && r.Resumable
 }
 
-// Service picks the service for a request by its id, in proportion to the
-// shares, so that every attempt and every instance picks alike.
+// Service selects the service for a request by the request's ID, in proportion to the
+// shares, so that all attempts and all instances select the same one.
 func (r *Route) Service(id string) string {
 	total := 0
 	for _, s := range r.Shares {
@@ -73,38 +73,37 @@
 	return r.Shares[len(r.Shares)-1].Service
 }
 
-// Engine is what a service of model engines can do.
+// Engine describes the model engines of a service.
 type Engine struct {
 	Slots        int           // requests in one batch
-	KVTokens     int           // memory of one endpoint, in tokens
-	KVTokenBytes int           // bytes of one token's KV cache
-	HandleLife   time.Duration // how long a finished prefill is kept for its decode
-	EventTokens  int           // tokens of an answer in one event; 0 if it is not told
-	SwitchTime   time.Duration // how long a change of stage takes; 0 if it is not told
+	KVTokens     int           // KV memory of one endpoint, in tokens
+	KVTokenBytes int           // size of one token's KV cache
+	HandleLife   time.Duration // how long the KV cache of a finished prefill is kept for its decode
+	EventTokens  int           // tokens per event of a response; 0 if unknown
+	SwitchTime   time.Duration // duration of a change of stage; 0 if unknown
 }
 
-// switchUnknown is assumed of engines whose service does not tell how long a
-// change of stage takes; too short, and an engine is given work that it must
-// turn away.
-const switchUnknown = 6 * time.Second
+// defaultSwitchTime is the duration of a change of stage if the service states none. If it
+// is too short, engines are assigned work that they must reject.
+const defaultSwitchTime = 6 * time.Second
 
-// Switch is how long a change of stage takes.
+// Switch returns the duration of a change of stage.
 func (e *Engine) Switch() time.Duration {
 	if e.SwitchTime > 0 {
 		return e.SwitchTime
 	}
-	return switchUnknown
+	return defaultSwitchTime
 }
 
-// Service is a set of alike endpoints.
+// Service is a set of interchangeable endpoints.
 type Service struct {
 	Name          string
-	ConnectionCap int     // connections that one endpoint takes from all callers
-	ColdRate      float64 // requests a second that a cold endpoint takes from all instances; 0: no limit
+	ConnectionCap int     // connections that one endpoint accepts from all callers
+	ColdRate      float64 // requests per second that a cold endpoint accepts from all instances; 0: no limit
 	Engine        *Engine // nil for plain services
 }
 
-// Limits bound what a caller may send.
+// Limits bound the size and time of callers' requests.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -112,27 +111,27 @@
 	IdleTimeout   time.Duration
 }
 
-// Document is one version of the configuration as the operators wrote it.
+// Document is one version of the operators' configuration.
 type Document struct {
 	Version    int64
 	Routes     []Route
 	Services   []Service
 	Limits     Limits
-	Keyed      bool // requests need a key, though no workspace may be there to have one
+	Keyed      bool // requests need an API key, even if no workspace is defined
 	Workspaces []Workspace
 }
 
-// Table is a checked Document, indexed for Match and Workspace.
+// Table is a validated Document, indexed for Match and Workspace.
 type Table struct {
 	Version    int64
 	Limits     Limits
 	document   Document
-	routes     map[string]map[string]*Route // host, prefix
+	routes     map[string]map[string]*Route // by host, then prefix
 	services   map[string]*Service
 	workspaces map[Key]*Workspace
 }
 
-// NewTable checks d and indexes it. Errors name the route and what is wrong.
+// NewTable validates d and indexes it. Errors name the route and what is wrong.
 func NewTable(d Document) (*Table, error) {
 	if d.Version <= 0 {
 		return nil, Error.New("version %d is not positive", d.Version)
@@ -147,20 +146,20 @@
 	for i := range d.Services {
 		s := &d.Services[i]
 		if s.ColdRate < 0 || math.IsNaN(s.ColdRate) || math.IsInf(s.ColdRate, 0) {
-			return nil, Error.New("service %q: rate of a cold endpoint %v must not be below nothing", s.Name, s.ColdRate)
+			return nil, Error.New("service %q: rate of a cold endpoint %v must be finite and not negative", s.Name, s.ColdRate)
 		}
 		t.services[s.Name] = s
 	}
 	for i := range d.Routes {
 		r := &d.Routes[i]
-		if err := t.add(r); err != nil {
+		if err := t.addRoute(r); err != nil {
 			return nil, err
 		}
 	}
 	return t, nil
 }
 
-func (t *Table) add(r *Route) error {
+func (t *Table) addRoute(r *Route) error {
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
 		return Error.New("route %q: path prefix %q must begin and end with a slash", r.Name, r.Prefix)
 	}
@@ -183,7 +182,7 @@
 	return nil
 }
 
-// Match returns the route of host with the longest prefix of path.
+// Match returns the route of the host with the longest prefix of the path.
 func (t *Table) Match(host, path string) (*Route, bool) {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
 		host = host[:i]
@@ -200,16 +199,16 @@
 	return nil, false
 }
 
-// Service returns the service called name, or nil.
+// Service returns the service with the given name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Services are all services; they must not be changed.
+// Services returns all services, which must not be modified.
 func (t *Table) Services() []Service { return t.document.Services }
 
-// Document returns what the table was made of; it must not be changed.
+// Document returns the document that the table was built from, which must not be modified.
 func (t *Table) Document() Document { return t.document }
 
-// Len is the number of routes.
+// Len returns the number of routes.
 func (t *Table) Len() int {
 	n := 0
 	for _, byPrefix := range t.routes {
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -56,7 +56,7 @@
 	tests := []struct {
 		name string
 		doc  route.Document
-		says string
+		want string
 	}{
 		{"no version", route.Document{}, "version 0"},
 		{"prefix", route.Document{Version: 1, Routes: []route.Route{{Name: "r", Prefix: "x"}}}, `route "r": path prefix "x"`},
@@ -68,13 +68,13 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			_, err := route.NewTable(test.doc)
-			qt.Assert(t, err, qt.ErrorMatches, "route: .*"+test.says+".*")
+			qt.Assert(t, err, qt.ErrorMatches, "route: .*"+test.want+".*")
 		})
 	}
 }
 
-// Requests divide as the shares say, and a request's share does not depend on
-// the instance that asks.
+// Requests are divided in proportion to the shares, and all instances select the same
+// service for a request.
 func TestSharesDivideRequests(t *testing.T) {
 	c := qt.New(t)
 	r := route.Route{Shares: []route.Share{{Service: "web", Weight: 90}, {Service: "next", Weight: 10}}}
--- a/internal/route/workspace.go
+++ b/internal/route/workspace.go
@@ -5,9 +5,9 @@
 	"math"
 )
 
-// Key is the digest of an API key. The key itself is forgotten once it is
-// decoded, so that no table, log line or message between instances can hold it,
-// and a lookup takes as long for a key that is near a known one as for any other.
+// Key is the digest of an API key. The key itself is discarded after decoding, so that no
+// table, log line or message between instances can contain it, and a lookup takes the same
+// time whether or not a key is close to an existing one.
 type Key [16]byte
 
 // KeyOf returns the digest of an API key.
@@ -16,41 +16,41 @@
 	return Key(sum[:16])
 }
 
-// Workspace is one of those whose requests come with a key of its own.
+// Workspace is a tenant, identified by its API keys.
 type Workspace struct {
 	Name     string
 	Keys     []Key
-	Priority int      // goes before the route's, if Ranked
-	Ranked   bool     // Priority is given
-	Regions  []string // where its requests may be served; none: anywhere
+	Priority int      // overrides the route's priority if Ranked
+	Ranked   bool     // Priority is set
+	Regions  []string // regions where its requests may be served; empty: all
 	Limit    Limit
 }
 
-// Limit bounds what a workspace may ask of all instances together.
+// Limit is the rate limit of a workspace across all instances.
 type Limit struct {
-	Rate   float64 // units a second; 0: no limit
-	Burst  float64 // units besides
-	Tokens bool    // a unit is a token; else it is a request
-	Plain  float64 // tokens that a request counts which does not tell its own
+	Rate   float64 // units per second; 0: no limit
+	Burst  float64 // units allowed in addition to Rate
+	Tokens bool    // units are tokens rather than requests
+	Plain  float64 // tokens counted for a request that does not state its own
 }
 
-// Bound says whether there is a limit.
+// Bound reports whether there is a limit.
 func (l Limit) Bound() bool { return l.Rate > 0 }
 
-// Cost is how many units a request counts, of whose tokens told says whether
-// they are known.
-func (l Limit) Cost(tokens int, told bool) float64 {
+// Cost returns the number of units that a request counts. known says whether its number of
+// tokens is known.
+func (l Limit) Cost(tokens int, known bool) float64 {
 	switch {
 	case !l.Tokens:
 		return 1
-	case told:
+	case known:
 		return float64(tokens)
 	default:
 		return l.Plain
 	}
 }
 
-// check names the field that is wrong.
+// check returns an error that names the first invalid field.
 func (l Limit) check(workspace string) error {
 	fields := []struct {
 		name  string
@@ -58,13 +58,13 @@
 	}{{"rate", l.Rate}, {"burst", l.Burst}, {"tokens of a plain request", l.Plain}}
 	for _, f := range fields {
 		if f.value < 0 || math.IsNaN(f.value) || math.IsInf(f.value, 0) {
-			return Error.New("workspace %q: %s %v must not be below nothing", workspace, f.name, f.value)
+			return Error.New("workspace %q: %s %v must be finite and not negative", workspace, f.name, f.value)
 		}
 	}
 	return nil
 }
 
-// addWorkspaces indexes workspaces by their keys. Errors name no key.
+// addWorkspaces indexes workspaces by their keys. Errors contain no key.
 func (t *Table) addWorkspaces(all []Workspace) error {
 	names := map[string]bool{}
 	for i := range all {
@@ -89,11 +89,11 @@
 	return nil
 }
 
-// Workspace returns the workspace that holds a key, or nil.
+// Workspace returns the workspace that a key belongs to, or nil.
 func (t *Table) Workspace(k Key) *Workspace { return t.workspaces[k] }
 
-// Keyed says whether requests need a key, but for those on open routes.
+// Keyed reports whether requests need a key, except on open routes.
 func (t *Table) Keyed() bool { return t.document.Keyed }
 
-// Workspaces are all workspaces; they must not be changed.
+// Workspaces returns all workspaces, which must not be modified.
 func (t *Table) Workspaces() []Workspace { return t.document.Workspaces }
