--- a/internal/broker/announce.go
+++ b/internal/broker/announce.go
@@ -6,51 +6,51 @@
 	"github.com/trailshed/trailshed/internal/roster"
 )
 
-// figuresEvery is how many announcements go without what a planner has learned
-// of engines: two seconds' worth. A planner that starts predicts by it until it
-// has served a few requests itself.
-const figuresEvery = 5
+// figuresPeriod is the number of announcements, two seconds' worth, of which one carries
+// what a planner has learned of the engines' speed. A planner that has just started
+// predicts with it until it has served a few requests itself.
+const figuresPeriod = 5
 
-// announce tells each zone's planner what this instance holds there, and now and
-// then, if it plans, how fast it has seen engines work.
+// announce sends each zone's planners the places that this instance holds there. If this
+// instance is a planner, it also sends the speed of engines from time to time.
 func (b *Broker) announce() {
-	b.announced++
+	b.announceCount++
 	var figures []pace.Figure
-	if b.announced%figuresEvery == 0 && b.Plans() {
+	if b.announceCount%figuresPeriod == 0 && b.Plans() {
 		figures = b.Paces.Figures()
 	}
 	for _, zone := range b.zones() {
-		a := b.announcement(zone)
+		a := b.newAnnouncement(zone)
 		a.Figures = figures
-		if !b.usedLately(zone) && len(a.Holds) == 0 && len(figures) == 0 {
+		if !b.recentlyUsed(zone) && len(a.Holds) == 0 && len(figures) == 0 {
 			continue
 		}
-		b.inform(zone, topicAnnounce, a)
+		b.notifyPlanners(zone, topicAnnounce, a)
 	}
 }
 
-// inform tells an event to the planners of a zone, of which this instance may be
-// one.
-func (b *Broker) inform(zone, topic string, e placement.Event) {
-	for _, i := range b.hearers(zone) {
+// notifyPlanners sends an event to the planners of a zone, which may include this instance.
+func (b *Broker) notifyPlanners(zone, topic string, e placement.Event) {
+	for _, i := range b.notifiedInstances(zone) {
 		if i.Name == b.Name {
-			b.apply(e)
+			b.handleEvent(e)
 		} else {
 			b.send(i.Address, topic, e)
 		}
 	}
 }
 
-// hearers are the planner of a zone, the next ones, and those that will be once
-// they have taken up their work.
-func (b *Broker) hearers(zone string) []roster.Instance {
+// notifiedInstances returns the instances of a zone that receive announcements: the
+// planner, its successor, and all joining instances, which may precede these once they have
+// joined.
+func (b *Broker) notifiedInstances(zone string) []roster.Instance {
 	var list []roster.Instance
 	for _, i := range b.Roster.Ranked(zone, rolePlanner) {
-		if !b.isDown(i) {
+		if !b.isBackingOff(i) {
 			list = append(list, i)
 		}
 	}
-	kept := list[:min(len(list), backups)]
+	kept := list[:min(len(list), plannerCandidates)]
 	for _, i := range list[len(kept):] {
 		if i.Joining {
 			kept = append(kept, i)
@@ -59,30 +59,30 @@
 	return kept
 }
 
-func (b *Broker) usedLately(zone string) bool {
+func (b *Broker) recentlyUsed(zone string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	at, ok := b.used[zone]
-	return ok && b.Now().Sub(at) < zoneMemory
+	at, ok := b.usedAt[zone]
+	return ok && b.Now().Sub(at) < zoneUseTimeout
 }
 
-func (b *Broker) announcement(zone string) placement.Announce {
+func (b *Broker) newAnnouncement(zone string) placement.Announce {
 	a := placement.Announce{Owner: b.Name, Zone: zone}
 	now := b.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, p := range b.holds {
+	for _, p := range b.places {
 		if p.Zone == zone {
 			a.Holds = append(a.Holds, placement.Hold{
-				ID: p.ID, Decode: p.Decode, Prompt: p.ask.Prompt, Length: p.Length, Running: now.Sub(p.granted),
+				ID: p.ID, Decode: p.Decode, Prompt: p.ask.Prompt, Length: p.Length, Running: now.Sub(p.grantedAt),
 			})
 		}
 	}
 	return a
 }
 
-// announcedBy takes an entry's places, and what a planner has learned.
-func (b *Broker) announcedBy(a placement.Announce) {
+// handleAnnounce applies the places and the engine speeds that another instance announced.
+func (b *Broker) handleAnnounce(a placement.Announce) {
 	b.Paces.Tell(a.Owner, a.Figures)
-	b.apply(a)
+	b.handleEvent(a)
 }
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -1,9 +1,9 @@
-// Package broker finds places for requests: it runs the planner of this
-// instance's zone for those who ask it, and asks the planners of all zones for
-// this instance's own requests. Any instance may serve as planner; the first of
-// the zone by rendezvous order usually does, and when it is silent the next one
-// is asked and, in the end, this instance's own planner, which then knows its
-// own requests only.
+// Package broker finds places for requests at model engines. It runs the planner of this
+// instance's zone and serves requests for places from other instances with it, and it sends
+// this instance's own requests for places to the planners of all zones. Every instance can
+// be a planner. Normally the first instance of a zone in rendezvous order is the planner.
+// If it does not respond, the next one is asked, and finally this instance's own planner,
+// which then knows only its own requests.
 package broker
 
 import (
@@ -27,53 +27,54 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// The topics between instances.
+// Topics of messages between instances.
 const (
 	topicAsk      = "place.ask"
-	topicVerdict  = "place.verdict"
+	topicDecision = "place.verdict"
 	topicProgress = "place.progress"
 	topicRelease  = "place.release"
 	topicClosed   = "place.closed"
 	topicAnnounce = "place.announce"
 )
 
-// rolePlanner is the role of giving out a zone's engines.
+// rolePlanner is the role of assigning a zone's engines.
 const rolePlanner = "planner"
 
 const (
-	// firstAnswer is how long a planner may take for its first answer. A round
-	// trip between zones takes 3 ms; a slowed instance takes some tens.
-	firstAnswer = 50 * time.Millisecond
-	// firstContact is the same for a planner that this process has not heard
-	// yet, while it is young: the connection must be made, and when a whole
-	// fleet starts at once all make theirs to the same few instances. To plan
-	// without them costs prompts that are read for nothing. Later, a planner
-	// that was never heard is most likely cut off.
-	firstContact = 300 * time.Millisecond
-	young        = 3 * time.Second
-	// downFor is how long a silent planner is not asked again; it doubles, up
-	// to downMost, while the planner stays silent.
-	downFor  = time.Second
-	downMost = 4 * time.Second
-	// silentMost is how many silent planners of a zone one request asks: when
-	// two are silent, the zone is probably cut off.
-	silentMost = 2
-	// backups is how many instances of a zone hear announcements, so that the
-	// next planner knows what was given out.
-	backups = 2
-	// announceEvery renews this instance's places; planners keep them for
-	// 2.5 s of silence.
-	announceEvery = 400 * time.Millisecond
-	// tickBusy and tickIdle let time pass in the own planner.
-	tickBusy = 10 * time.Millisecond
-	tickIdle = 400 * time.Millisecond
-	// zoneMemory is how long a zone hears announcements after the last place.
-	zoneMemory = 3 * time.Second
-	// verdictSlack is how much longer than a planner's queue a verdict may take.
-	verdictSlack = 50 * time.Millisecond
+	// answerTimeout bounds a planner's first answer. A round trip between zones takes 3 ms;
+	// a slow instance takes some tens of milliseconds.
+	answerTimeout = 50 * time.Millisecond
+	// firstContactTimeout replaces answerTimeout for a planner that has not yet answered
+	// this process, during the startupPeriod of this process: the connection has to be
+	// made, and when all instances start at once, all of them connect to the same few
+	// planners. Planning without the planners wastes prefills. After the startup period, a
+	// planner that never answered is most likely unreachable.
+	firstContactTimeout = 300 * time.Millisecond
+	startupPeriod       = 3 * time.Second
+	// minBackoff is how long a planner that did not respond is not asked again. It doubles,
+	// up to maxBackoff, while the planner does not respond.
+	minBackoff = time.Second
+	maxBackoff = 4 * time.Second
+	// maxSilentPlanners is how many unresponsive planners of a zone one request tries: if
+	// two do not respond, the zone is probably unreachable.
+	maxSilentPlanners = 2
+	// plannerCandidates is how many instances of a zone receive announcements, the planner
+	// among them, so that its successor knows which places are taken.
+	plannerCandidates = 2
+	// announceInterval is how often this instance's places are announced; planners drop
+	// places that have not been announced for 2.5 s.
+	announceInterval = 400 * time.Millisecond
+	// busyTickInterval and idleTickInterval are the intervals at which the local planner
+	// advances its time.
+	busyTickInterval = 10 * time.Millisecond
+	idleTickInterval = 400 * time.Millisecond
+	// zoneUseTimeout is how long after its last place a zone still receives announcements.
+	zoneUseTimeout = 3 * time.Second
+	// decisionGrace is how long a decision may take beyond the time in the planner's queue.
+	decisionGrace = 50 * time.Millisecond
 )
 
-// Options are what a Broker works with.
+// Options configure a Broker.
 type Options struct {
 	Name, Zone string
 	Transport  *peer.Transport
@@ -82,20 +83,20 @@
 	Log        *eventlog.Log
 	Scope      tally.Scope
 	Now        func() clock.Millis
-	// Regions has the region of each availability zone.
+	// Regions maps each availability zone to its region.
 	Regions map[string]string
-	// Paces is what this instance learns of the engines.
+	// Paces is this instance's model of the engines' speed.
 	Paces *pace.Model
-	// Load asks an engine of the own zone what it works on.
+	// Load requests the current load of an engine in this instance's zone.
 	Load Load
-	// Spent are engines of the own zone that may get no more requests now, and how long
-	// the first of them may not.
+	// Spent returns the engines of this instance's zone that may get no more requests now,
+	// and the time until the first of them may again.
 	Spent func() (engines []string, next time.Duration)
-	// Saw is told of each ask that this instance's planner gets.
+	// Saw is called with each request for a place that reaches this instance's planner.
 	Saw func(a placement.Ask)
 }
 
-// Broker finds places. Lock order: planner, then tables.
+// Broker finds places at engines. Lock order: plannerMu, then mu.
 type Broker struct {
 	Options
 	ticker *ticker.Ticker
@@ -104,62 +105,62 @@
 	planner   *placement.Planner
 	view      *directory.View
 
-	mu      sync.Mutex
-	holds   map[string]*Place
-	pending map[string]chan placement.Verdict
-	down    map[string]silence        // by certificate
-	used    map[string]clock.Millis   // by zone
-	met     map[string]bool           // planners that were heard, by certificate
-	loadAt  map[string]clock.Millis   // engines that were asked for their load
-	askers  map[string]netip.AddrPort // where verdicts go, by name
-	began   clock.Millis              // when this process did
+	mu              sync.Mutex
+	places          map[string]*Place
+	pending         map[string]chan placement.Verdict
+	backoffs        map[string]backoff        // by certificate fingerprint
+	usedAt          map[string]clock.Millis   // by zone
+	responded       map[string]bool           // planners that have answered, by certificate fingerprint
+	loadRequestedAt map[string]clock.Millis   // when an engine was asked for its load, by ID
+	askerAddresses  map[string]netip.AddrPort // where decisions are sent, by instance name
+	startedAt       clock.Millis              // start of this process
 
-	announced int // how often; only announce counts
+	announceCount int // used by announce only
 }
 
-// Place is what a request holds until Release.
+// Place is a request's place at engines, held until Release.
 type Place struct {
 	placement.Grant
-	Zone    string
-	reader  *Place // at the prefill engine, where another zone's planner gave it
-	ask     placement.Ask
-	planner roster.Instance
-	granted clock.Millis
+	Zone         string
+	prefillPlace *Place // place of the prefill, if another zone's planner assigned it
+	ask          placement.Ask
+	planner      roster.Instance
+	grantedAt    clock.Millis
 }
 
-// New returns a broker.
+// New returns a Broker.
 func New(o Options) *Broker {
 	return &Broker{
-		Options: o, ticker: ticker.New(tickBusy, tickIdle), planner: placement.New(o.Zone, o.Name, o.Paces), view: directory.NewView(nil),
-		holds: map[string]*Place{}, pending: map[string]chan placement.Verdict{},
-		down: map[string]silence{}, used: map[string]clock.Millis{}, met: map[string]bool{},
-		loadAt: map[string]clock.Millis{}, askers: map[string]netip.AddrPort{}, began: o.Now(),
+		Options: o, ticker: ticker.New(busyTickInterval, idleTickInterval), planner: placement.New(o.Zone, o.Name, o.Paces), view: directory.NewView(nil),
+		places: map[string]*Place{}, pending: map[string]chan placement.Verdict{},
+		backoffs: map[string]backoff{}, usedAt: map[string]clock.Millis{}, responded: map[string]bool{},
+		loadRequestedAt: map[string]clock.Millis{}, askerAddresses: map[string]netip.AddrPort{}, startedAt: o.Now(),
 	}
 }
 
-// Register adds the handlers of other instances' messages.
+// Register adds the handlers of messages from other instances.
 func (b *Broker) Register(r *message.Router) {
 	peer.Answer(r, b.Transport, topicAsk, func(_ context.Context, s peer.Sender, a placement.Ask) placement.Verdict {
-		b.asked(a.Owner, s.Address)
+		b.rememberAsker(a.Owner, s.Address)
 		return b.decide(a)
 	})
-	peer.Handle(r, b.Transport, topicVerdict, func(_ peer.Sender, v placement.Verdict) { b.deliver(v) })
-	peer.Handle(r, b.Transport, topicProgress, func(_ peer.Sender, m placement.Progress) { b.apply(m) })
-	peer.Handle(r, b.Transport, topicRelease, func(_ peer.Sender, m placement.Release) { b.released(m) })
-	peer.Handle(r, b.Transport, topicClosed, func(_ peer.Sender, m placement.Closed) { b.apply(m) })
-	peer.Handle(r, b.Transport, topicAnnounce, func(_ peer.Sender, m placement.Announce) { b.announcedBy(m) })
+	peer.Handle(r, b.Transport, topicDecision, func(_ peer.Sender, v placement.Verdict) { b.deliver(v) })
+	peer.Handle(r, b.Transport, topicProgress, func(_ peer.Sender, m placement.Progress) { b.handleEvent(m) })
+	peer.Handle(r, b.Transport, topicRelease, func(_ peer.Sender, m placement.Release) { b.handleRelease(m) })
+	peer.Handle(r, b.Transport, topicClosed, func(_ peer.Sender, m placement.Closed) { b.handleEvent(m) })
+	peer.Handle(r, b.Transport, topicAnnounce, func(_ peer.Sender, m placement.Announce) { b.handleAnnounce(m) })
 }
 
-// Run announces and lets time pass until ctx ends.
+// Run announces places and drives the local planner until ctx ends.
 func (b *Broker) Run(ctx context.Context) {
 	var group sync.WaitGroup
-	group.Go(func() { ticker.Every(ctx, announceEvery, b.announce) })
+	group.Go(func() { ticker.Every(ctx, announceInterval, b.announce) })
 	group.Go(func() { b.ticker.Run(ctx, b.tick) })
-	group.Go(func() { b.learnLoads(ctx) })
+	group.Go(func() { b.fetchInitialLoads(ctx) })
 	group.Wait()
 }
 
-// zones returns the own zone and those where others are known, those of the own region
+// zones returns this instance's zone, then the other known zones, those of the same region
 // first.
 func (b *Broker) zones() []string {
 	list := []string{b.Zone}
@@ -168,97 +169,96 @@
 			list = append(list, zone)
 		}
 	}
-	away := func(zone string) int {
+	regionRank := func(zone string) int {
 		if b.Regions[zone] == b.Regions[b.Zone] {
 			return 0
 		}
 		return 1
 	}
-	slices.SortStableFunc(list[1:], func(x, y string) int { return cmp.Compare(away(x), away(y)) })
+	slices.SortStableFunc(list[1:], func(x, y string) int { return cmp.Compare(regionRank(x), regionRank(y)) })
 	return list
 }
 
-// findIn asks the planner of a zone, and the next one when it is silent.
-func (b *Broker) findIn(ctx context.Context, zone string, a placement.Ask) (*Place, *placement.Refusal) {
+// findInZone asks the planner of a zone, and the next one if it does not respond.
+func (b *Broker) findInZone(ctx context.Context, zone string, a placement.Ask) (*Place, *placement.Refusal) {
 	silent := 0
 	for _, i := range b.Roster.Ranked(zone, rolePlanner) {
-		if b.isDown(i) || silent == silentMost && i.Name != b.Name {
+		if b.isBackingOff(i) || silent == maxSilentPlanners && i.Name != b.Name {
 			continue
 		}
 		if i.Name == b.Name {
-			return b.findHere(ctx, a)
+			return b.findLocal(ctx, a)
 		}
-		v, heard := b.askAt(ctx, i, a)
-		if heard {
-			b.heard(i)
-			return b.conclude(i, zone, a, v)
+		v, answered := b.askPlanner(ctx, i, a)
+		if answered {
+			b.markAlive(i)
+			return b.placeOrRefusal(i, zone, a, v)
 		}
 		if ctx.Err() != nil {
-			return nil, &placement.Refusal{Reason: placement.ReasonMoved, After: downFor}
+			return nil, &placement.Refusal{Reason: placement.ReasonMoved, After: minBackoff}
 		}
 		silent++
-		b.silent(i)
+		b.markSilent(i)
 		b.send(i.Address, topicRelease, placement.Release{ID: a.ID, Owner: b.Name})
 	}
 	if zone == b.Zone {
-		b.apply(b.announcement(zone))
-		return b.findHere(ctx, a)
+		b.handleEvent(b.newAnnouncement(zone))
+		return b.findLocal(ctx, a)
 	}
-	return nil, &placement.Refusal{Reason: placement.ReasonNoEndpoint, After: downFor}
+	return nil, &placement.Refusal{Reason: placement.ReasonNoEndpoint, After: minBackoff}
 }
 
-func (b *Broker) findHere(ctx context.Context, a placement.Ask) (*Place, *placement.Refusal) {
-	waiting := b.await(a.ID)
-	defer b.forget(a.ID)
+func (b *Broker) findLocal(ctx context.Context, a placement.Ask) (*Place, *placement.Refusal) {
+	waiting := b.addWaiter(a.ID)
+	defer b.removeWaiter(a.ID)
 	v := b.decide(a)
 	if v.Queued {
-		v = b.wait(ctx, waiting, a)
+		v = b.awaitDecision(ctx, waiting, a)
 	}
-	return b.conclude(roster.Instance{Name: b.Name}, b.Zone, a, v)
+	return b.placeOrRefusal(roster.Instance{Name: b.Name}, b.Zone, a, v)
 }
 
-// askAt asks one planner. It returns false if it did not answer.
-func (b *Broker) askAt(ctx context.Context, i roster.Instance, a placement.Ask) (placement.Verdict, bool) {
-	waiting := b.await(a.ID)
-	defer b.forget(a.ID)
-	first, cancel := context.WithTimeout(ctx, b.firstAnswer(i))
+// askPlanner asks one planner. It returns false if the planner did not answer in time.
+func (b *Broker) askPlanner(ctx context.Context, i roster.Instance, a placement.Ask) (placement.Verdict, bool) {
+	waiting := b.addWaiter(a.ID)
+	defer b.removeWaiter(a.ID)
+	first, cancel := context.WithTimeout(ctx, b.timeoutFor(i))
 	defer cancel()
 	v, err := peer.Ask[placement.Ask, placement.Verdict](first, b.Transport, i.Address, topicAsk, a)
 	if err != nil {
 		return placement.Verdict{}, false
 	}
 	if v.Queued {
-		v = b.wait(ctx, waiting, a)
+		v = b.awaitDecision(ctx, waiting, a)
 	}
 	return v, true
 }
 
-// Release gives a place back. full names an engine that turned the request
-// away, failed one that failed; both may be empty. seen is what became of the
-// answer, nil if it did not begin.
+// Release frees a place. full names an engine that rejected the request, failed one that
+// failed; both may be empty. seen is the timing of the response, nil if it did not begin.
 func (b *Broker) Release(p *Place, full, failed string, seen *placement.Seen) {
-	if p.reader != nil {
-		b.Release(p.reader, full, failed, nil)
+	if p.prefillPlace != nil {
+		b.Release(p.prefillPlace, full, failed, nil)
 	}
 	b.mu.Lock()
-	delete(b.holds, p.ID)
+	delete(b.places, p.ID)
 	b.mu.Unlock()
 	if seen != nil && p.planner.Name != b.Name {
 		placement.Learn(b.Paces, b.Now(), p.ask, p.Grant, 0, *seen)
 	}
-	b.tell(p.planner, placement.Release{ID: p.ID, Owner: b.Name, Full: full, Failed: failed, Seen: seen})
+	b.sendRelease(p.planner, placement.Release{ID: p.ID, Owner: b.Name, Full: full, Failed: failed, Seen: seen})
 }
 
-// Began passes on what an engine said of its load when it began to answer.
+// Began reports the load that a decode engine stated when it began to answer.
 func (b *Broker) Began(p *Place, running int) {
-	b.progress(p, placement.Progress{ID: p.ID, Running: running})
+	b.sendProgress(p, placement.Progress{ID: p.ID, Running: running})
 }
 
-// Read passes on that the prefill engine has read the prompt, what it said of
-// its load, and how long that took.
+// Read reports that the prefill engine has finished the prefill, the load it stated, and
+// how long the prefill took.
 func (b *Broker) Read(p *Place, running int, took time.Duration) {
-	if p.reader != nil {
-		p = p.reader
+	if p.prefillPlace != nil {
+		p = p.prefillPlace
 	}
 	if p.Wait == 0 && p.planner.Name != b.Name {
 		b.Paces.Learn(b.Now(), pace.Observation{
@@ -266,20 +266,20 @@
 			Size: float64(p.ask.Prompt), Outcome: clock.InMillis(took),
 		})
 	}
-	b.progress(p, placement.Progress{ID: p.ID, Running: running, Read: true, Took: took})
+	b.sendProgress(p, placement.Progress{ID: p.ID, Running: running, Read: true, Took: took})
 }
 
-func (b *Broker) progress(p *Place, m placement.Progress) {
+func (b *Broker) sendProgress(p *Place, m placement.Progress) {
 	if p.planner.Name == b.Name {
-		b.apply(m)
+		b.handleEvent(m)
 		return
 	}
 	b.send(p.planner.Address, topicProgress, m)
 }
 
-func (b *Broker) tell(i roster.Instance, r placement.Release) {
+func (b *Broker) sendRelease(i roster.Instance, r placement.Release) {
 	if i.Name == b.Name {
-		b.released(r)
+		b.handleRelease(r)
 		return
 	}
 	b.send(i.Address, topicRelease, r)
--- a/internal/broker/verdict.go
+++ b/internal/broker/decision.go
@@ -8,9 +8,10 @@
 	"github.com/trailshed/trailshed/internal/roster"
 )
 
-// wait waits for the verdict on a queued ask.
-func (b *Broker) wait(ctx context.Context, waiting chan placement.Verdict, a placement.Ask) placement.Verdict {
-	timer := time.NewTimer(max(a.Budget, a.Hold) + verdictSlack)
+// awaitDecision waits for the decision on a queued request. It returns an empty one if none
+// comes in time.
+func (b *Broker) awaitDecision(ctx context.Context, waiting chan placement.Verdict, a placement.Ask) placement.Verdict {
+	timer := time.NewTimer(max(a.Budget, a.Hold) + decisionGrace)
 	defer timer.Stop()
 	select {
 	case v := <-waiting:
@@ -21,25 +22,25 @@
 	return placement.Verdict{}
 }
 
-// conclude turns a verdict into a place or a refusal.
-func (b *Broker) conclude(i roster.Instance, zone string, a placement.Ask, v placement.Verdict) (*Place, *placement.Refusal) {
+// placeOrRefusal converts a planner's decision into a place or a refusal.
+func (b *Broker) placeOrRefusal(i roster.Instance, zone string, a placement.Ask, v placement.Verdict) (*Place, *placement.Refusal) {
 	switch {
 	case v.Grant != nil:
-		p := &Place{Grant: *v.Grant, Zone: zone, ask: a, planner: i, granted: b.Now()}
+		p := &Place{Grant: *v.Grant, Zone: zone, ask: a, planner: i, grantedAt: b.Now()}
 		b.mu.Lock()
-		b.holds[a.ID] = p
-		b.used[zone] = b.Now()
+		b.places[a.ID] = p
+		b.usedAt[zone] = b.Now()
 		b.mu.Unlock()
 		return p, nil
 	case v.Refusal != nil:
 		return nil, v.Refusal
-	default: // no verdict came
-		b.tell(i, placement.Release{ID: a.ID, Owner: b.Name})
-		return nil, &placement.Refusal{ID: a.ID, Reason: placement.ReasonMoved, After: downFor}
+	default: // no decision in time
+		b.sendRelease(i, placement.Release{ID: a.ID, Owner: b.Name})
+		return nil, &placement.Refusal{ID: a.ID, Reason: placement.ReasonMoved, After: minBackoff}
 	}
 }
 
-func (b *Broker) await(id string) chan placement.Verdict {
+func (b *Broker) addWaiter(id string) chan placement.Verdict {
 	waiting := make(chan placement.Verdict, 1)
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -47,7 +48,7 @@
 	return waiting
 }
 
-func (b *Broker) forget(id string) {
+func (b *Broker) removeWaiter(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.pending, id)
@@ -66,7 +67,7 @@
 	b.mu.Unlock()
 	if waiting == nil {
 		b.Scope.Counter("placement_late_verdicts").Inc(1)
-		return // the announcements free what it gave
+		return // the next announcement frees the place that it granted
 	}
 	select {
 	case waiting <- v:
--- a/internal/broker/find.go
+++ b/internal/broker/find.go
@@ -8,22 +8,22 @@
 	"github.com/trailshed/trailshed/internal/residency"
 )
 
-// Find asks for places for a whole request in an area. It tries, until one succeeds:
-// prefill and decode in the own zone, in another zone, prefill in one zone and
-// decode in another, decode engines that read the prompt themselves where no
-// zone has a prefill engine, and, with patience, the zone that promised room
-// the soonest.
+// Find requests a place for a whole request in an area. It tries in turn, until one
+// succeeds: prefill and decode in this instance's zone; both in another zone; prefill in
+// one zone and decode in another; if no zone has a prefill engine, a decode engine that
+// computes the prefill too; and finally, waiting in the queue of the zone that promises to
+// have room soonest.
 func (b *Broker) Find(ctx context.Context, a placement.Ask, area residency.Area) (*Place, *placement.Refusal) {
 	a.Owner = b.Name
 	zones := slices.DeleteFunc(b.zones(), func(zone string) bool { return !area.Allows(zone) })
 	if len(zones) == 0 {
-		return nil, &placement.Refusal{Reason: placement.ReasonNoZone, After: downFor}
+		return nil, &placement.Refusal{Reason: placement.ReasonNoZone, After: minBackoff}
 	}
 	s := b.survey(ctx, zones, a)
 	if s.place != nil {
 		return s.place, nil
 	}
-	if p := b.findApart(ctx, zones, s.unread, a); p != nil {
+	if p := b.findSplit(ctx, zones, s.noPrefill, a); p != nil {
 		return p, nil
 	}
 	if s.best.Reason == placement.ReasonNoPrefill {
@@ -33,78 +33,78 @@
 	if s.place != nil {
 		return s.place, nil
 	}
-	if !hopeful(s.best) {
+	if !worthWaiting(s.best) {
 		return nil, s.best
 	}
 	a.Patient = true
-	return b.findIn(ctx, s.zone, a)
+	return b.findInZone(ctx, s.zone, a)
 }
 
-// survey is what the planners of all zones say to an ask.
-type survey struct {
-	place  *Place
-	best   *placement.Refusal // the one that gives most hope
-	zone   string             // where best came from
-	unread []string           // zones that could decode but have no prefill engine
+// surveyResult is the outcome of asking the planners of all zones for a place.
+type surveyResult struct {
+	place     *Place
+	best      *placement.Refusal // the refusal that leaves most options
+	zone      string             // zone of best
+	noPrefill []string           // zones that could decode but have no prefill engine available
 }
 
-func (b *Broker) survey(ctx context.Context, zones []string, a placement.Ask) survey {
-	var s survey
+func (b *Broker) survey(ctx context.Context, zones []string, a placement.Ask) surveyResult {
+	var s surveyResult
 	for _, zone := range zones {
-		place, refusal := b.findIn(ctx, zone, a)
+		place, refusal := b.findInZone(ctx, zone, a)
 		if place != nil {
-			return survey{place: place}
+			return surveyResult{place: place}
 		}
 		if refusal.Reason == placement.ReasonNoPrefill {
-			s.unread = append(s.unread, zone)
+			s.noPrefill = append(s.noPrefill, zone)
 		}
-		if s.best == nil || better(refusal, s.best) {
+		if s.best == nil || preferable(refusal, s.best) {
 			s.best, s.zone = refusal, zone
 		}
 	}
 	return s
 }
 
-// findApart has one zone read the prompt and another decode it.
-func (b *Broker) findApart(ctx context.Context, zones, decoders []string, a placement.Ask) *Place {
-	for _, zone := range decoders {
-		decode, read := a, a
+// findSplit places the prefill in one zone and the decode in another.
+func (b *Broker) findSplit(ctx context.Context, zones, decodeZones []string, a placement.Ask) *Place {
+	for _, zone := range decodeZones {
+		decode, prefill := a, a
 		decode.Part, decode.ID = placement.DecodeOnly, a.ID+"/decode"
-		read.Part, read.ID = placement.ReadOnly, a.ID+"/read"
-		place, _ := b.findIn(ctx, zone, decode)
+		prefill.Part, prefill.ID = placement.ReadOnly, a.ID+"/read"
+		place, _ := b.findInZone(ctx, zone, decode)
 		if place == nil {
 			continue
 		}
-		s := b.survey(ctx, zones, read)
+		s := b.survey(ctx, zones, prefill)
 		if s.place == nil {
 			b.Release(place, "", "", nil)
 			return nil
 		}
-		place.reader, place.Prefill, place.Wait, place.Read = s.place, s.place.Prefill, s.place.Wait, s.place.Read
+		place.prefillPlace, place.Prefill, place.Wait, place.Read = s.place, s.place.Prefill, s.place.Wait, s.place.Read
 		place.New = append(place.New, s.place.New...)
 		return place
 	}
 	return nil
 }
 
-// hopeful says whether it pays to wait after a refusal.
-func hopeful(r *placement.Refusal) bool {
+// worthWaiting reports whether a place may become free soon after this refusal.
+func worthWaiting(r *placement.Refusal) bool {
 	return r.Reason == placement.ReasonFull || r.Reason == placement.ReasonBusy
 }
 
-// better says whether refusal a gives more hope than b.
-func better(a, b *placement.Refusal) bool {
-	if hope(a) != hope(b) {
-		return hope(a) > hope(b)
+// preferable reports whether refusal a leaves more options than b.
+func preferable(a, b *placement.Refusal) bool {
+	if refusalRank(a) != refusalRank(b) {
+		return refusalRank(a) > refusalRank(b)
 	}
 	return a.After < b.After
 }
 
-// hope orders refusals by what can still be done: wait, have a decode engine read the
-// prompt, come back, nothing.
-func hope(r *placement.Refusal) int {
+// refusalRank orders refusals by what can still be done, from most to least: wait, have a
+// decode engine compute the prefill, retry later, nothing.
+func refusalRank(r *placement.Refusal) int {
 	switch {
-	case hopeful(r):
+	case worthWaiting(r):
 		return 3
 	case r.Reason == placement.ReasonNoPrefill:
 		return 2
--- a/internal/broker/loads.go
+++ b/internal/broker/loads.go
@@ -13,51 +13,52 @@
 )
 
 const (
-	// loadsPause is how often a young instance looks whether it is to plan.
-	loadsPause = 50 * time.Millisecond
-	// loadsWait bounds one engine's answer, a report that is some hundred ms old.
-	loadsWait = 300 * time.Millisecond
-	// loadsAtOnce is how many engines are asked at a time.
-	loadsAtOnce = 16
-	// loadAgain is how long an engine is not asked again: its report is nearly a
-	// second old, and each question has a price.
-	loadAgain = 500 * time.Millisecond
+	// plannerCheckInterval is how often a recently started instance checks whether it is to
+	// plan.
+	plannerCheckInterval = 50 * time.Millisecond
+	// loadTimeout bounds one engine's answer, a report that is some hundred ms old.
+	loadTimeout = 300 * time.Millisecond
+	// maxConcurrentLoads bounds the number of engines asked at a time.
+	maxConcurrentLoads = 16
+	// minLoadInterval is how long an engine is not asked again: its report is nearly a
+	// second old, and each request for it has a cost.
+	minLoadInterval = 500 * time.Millisecond
 )
 
-// learnLoads asks the engines of the own zone once what they work on, if this
-// instance is to plan for them while it is young: those who are gone may have
-// left work there, of which no announcement tells.
-func (b *Broker) learnLoads(ctx context.Context) {
-	for ctx.Err() == nil && b.Now().Sub(b.began) < young {
+// fetchInitialLoads fetches the load of the engines in this instance's zone once, if this
+// instance becomes a planner candidate soon after its start: instances that are gone may
+// have left work there that nobody announces.
+func (b *Broker) fetchInitialLoads(ctx context.Context) {
+	for ctx.Err() == nil && b.Now().Sub(b.startedAt) < startupPeriod {
 		var engines []directory.Endpoint
 		for e := range b.Directory.View().Engines(b.Zone) {
 			engines = append(engines, *e)
 		}
-		// The planner and the one after it ask.
-		if place, known := b.Roster.Rank(b.Zone, rolePlanner, b.Name); known && place < backups && len(engines) > 0 {
-			b.askEngines(ctx, engines)
+		// The planner and its successor ask.
+		if rank, known := b.Roster.Rank(b.Zone, rolePlanner, b.Name); known && rank < plannerCandidates && len(engines) > 0 {
+			b.fetchLoads(ctx, engines)
 			return
 		}
-		ticker.Sleep(ctx, loadsPause)
+		ticker.Sleep(ctx, plannerCheckInterval)
 	}
 }
 
-func (b *Broker) askEngines(ctx context.Context, engines []directory.Endpoint) {
-	turns := make(chan struct{}, loadsAtOnce)
+func (b *Broker) fetchLoads(ctx context.Context, engines []directory.Endpoint) {
+	slots := make(chan struct{}, maxConcurrentLoads)
 	var group sync.WaitGroup
 	var known atomic.Int64
 	for _, e := range engines {
-		turns <- struct{}{}
+		slots <- struct{}{}
 		group.Go(func() {
-			defer func() { <-turns }()
-			ctx, cancel := context.WithTimeout(ctx, loadsWait)
+			defer func() { <-slots }()
+			ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 			defer cancel()
 			loaded, err := b.Load(ctx, e)
 			if err != nil {
-				b.Scope.Counter("loads_unanswered").Inc(1) // it is judged by its answers
+				b.Scope.Counter("loads_unanswered").Inc(1) // its load is then known from its responses
 				return
 			}
-			b.apply(loaded)
+			b.handleEvent(loaded)
 			known.Add(1)
 		})
 	}
@@ -65,38 +66,38 @@
 	b.Log.Write(eventlog.Line{Event: eventlog.Believed, Outcome: "loads_learned", Zone: b.Zone, Count: known.Load()})
 }
 
-// released takes places back. An engine that turned a request away, though this
-// planner estimated with room there, works for somebody that this planner does not
-// hear, so it is asked what it holds.
-func (b *Broker) released(r placement.Release) {
-	b.apply(r)
+// handleRelease frees places. An engine that rejected a request although this planner
+// estimated that it had room has work from instances that this planner does not receive
+// announcements of, so it is asked for its load.
+func (b *Broker) handleRelease(r placement.Release) {
+	b.handleEvent(r)
 	if r.Full == "" {
 		return
 	}
 	for e := range b.Directory.View().Engines(b.Zone) {
-		if e.ID == r.Full && e.Stage != directory.Prefill && b.mayAskLoad(e.ID) {
-			go b.askEngines(context.Background(), []directory.Endpoint{*e}) // ends within loadsWait
+		if e.ID == r.Full && e.Stage != directory.Prefill && b.allowLoadRequest(e.ID) {
+			go b.fetchLoads(context.Background(), []directory.Endpoint{*e}) // bounded by loadTimeout
 		}
 	}
 }
 
-// mayAskLoad says whether an engine was not asked for a while, and notes that it
-// is asked now.
-func (b *Broker) mayAskLoad(engine string) bool {
+// allowLoadRequest reports whether an engine may be asked for its load now, and if so
+// records the request.
+func (b *Broker) allowLoadRequest(engine string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.Now()
-	for id, at := range b.loadAt {
-		if now.Sub(at) >= loadAgain {
-			delete(b.loadAt, id)
+	for id, at := range b.loadRequestedAt {
+		if now.Sub(at) >= minLoadInterval {
+			delete(b.loadRequestedAt, id)
 		}
 	}
-	if _, asked := b.loadAt[engine]; asked {
+	if _, recent := b.loadRequestedAt[engine]; recent {
 		return false
 	}
-	b.loadAt[engine] = now
+	b.loadRequestedAt[engine] = now
 	return true
 }
 
-// Load asks one engine what it works on.
+// Load requests the current load of one engine.
 type Load func(ctx context.Context, e directory.Endpoint) (placement.Loaded, error)
--- a/internal/broker/planner.go
+++ b/internal/broker/planner.go
@@ -6,9 +6,9 @@
 	"github.com/trailshed/trailshed/internal/placement"
 )
 
-// tick lets time pass in the own planner; it is busy while requests wait. One that has
-// given out nothing is left alone: most instances never plan, and need not follow what
-// becomes of thousands of engines.
+// tick advances the time of the local planner and reports whether requests are waiting. A
+// planner without places to track is skipped: most instances never plan and need not follow
+// the state of thousands of engines.
 func (b *Broker) tick() (busy bool) {
 	b.plannerMu.Lock()
 	idle := b.planner.Idle()
@@ -18,38 +18,38 @@
 		b.Paces.Forget(func(engine string) bool { return v.Find(engine) != nil })
 		return false
 	}
-	b.apply(placement.Tick{})
+	b.handleEvent(placement.Tick{})
 	b.plannerMu.Lock()
 	defer b.plannerMu.Unlock()
 	return b.planner.Queued() > 0
 }
 
-// Close tells the planners of a zone that an engine takes nothing until its
-// stage has changed.
+// Close reports to the planners of a zone that an engine accepts nothing until its stage
+// has changed.
 func (b *Broker) Close(zone, engine string) {
-	b.inform(zone, topicClosed, placement.Closed{Engine: engine})
+	b.notifyPlanners(zone, topicClosed, placement.Closed{Engine: engine})
 }
 
-// Plans says whether this instance is the first planner of its zone.
+// Plans reports whether this instance is the current planner of its zone.
 func (b *Broker) Plans() bool {
-	place, known := b.Roster.Rank(b.Zone, rolePlanner, b.Name)
-	return known && place == 0
+	rank, known := b.Roster.Rank(b.Zone, rolePlanner, b.Name)
+	return known && rank == 0
 }
 
-// decide asks the own planner and returns its first answer. Whatever else the ask
-// brings about is passed on.
+// decide asks the local planner and returns its first decision on this request. Decisions
+// on other requests are sent to their instances.
 func (b *Broker) decide(a placement.Ask) placement.Verdict {
 	b.Saw(a)
 	spent, next := b.Spent()
 	a.Exclude = append(a.Exclude, spent...)
-	first := placement.Verdict{Queued: true} // if it is asked again while it waits
+	first := placement.Verdict{Queued: true} // a request repeated while it is queued
 	found := false
-	for _, answer := range b.step(a) {
+	for _, answer := range b.applyEvent(a) {
 		if answer.ID == a.ID && !found {
 			first, found = answer.Verdict, true
 			continue
 		}
-		b.pass(answer)
+		b.sendDecision(answer)
 	}
 	if r := first.Refusal; r != nil && r.Reason == placement.ReasonNoEndpoint && len(spent) > 0 {
 		r.Reason, r.After = placement.ReasonLimited, max(r.After, next)
@@ -57,14 +57,16 @@
 	return first
 }
 
-// apply feeds the own planner and passes its answers on.
-func (b *Broker) apply(e placement.Event) {
-	for _, answer := range b.step(e) {
-		b.pass(answer)
+// handleEvent applies an event to the local planner and sends the resulting decisions.
+func (b *Broker) handleEvent(e placement.Event) {
+	for _, answer := range b.applyEvent(e) {
+		b.sendDecision(answer)
 	}
 }
 
-func (b *Broker) step(e placement.Event) []placement.Answer {
+// applyEvent applies an event to the local planner, after the latest view of the directory
+// if that has changed.
+func (b *Broker) applyEvent(e placement.Event) []placement.Answer {
 	b.plannerMu.Lock()
 	defer b.plannerMu.Unlock()
 	now := b.Now()
@@ -81,24 +83,24 @@
 	return answers
 }
 
-// asked notes where an entry that asks is reached. Its verdict may come later,
-// and an instance whose entry in the store has lapsed, as when it is cut off
-// from the store only, is in no roster by then.
-func (b *Broker) asked(owner string, address netip.AddrPort) {
+// rememberAsker records the address of an instance that asks for a place. Its decision may
+// come later, and an instance whose entry in the store has expired, for example because
+// only the store is unreachable for it, is no longer in the roster by then.
+func (b *Broker) rememberAsker(owner string, address netip.AddrPort) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.askers[owner] = address
+	b.askerAddresses[owner] = address
 }
 
-func (b *Broker) pass(a placement.Answer) {
+func (b *Broker) sendDecision(a placement.Answer) {
 	if a.Owner == b.Name {
 		b.deliver(a.Verdict)
 		return
 	}
 	b.mu.Lock()
-	address, known := b.askers[a.Owner]
+	address, known := b.askerAddresses[a.Owner]
 	b.mu.Unlock()
 	if known {
-		b.send(address, topicVerdict, a.Verdict)
+		b.send(address, topicDecision, a.Verdict)
 	}
 }
