--- a/internal/forward/dialect.go
+++ b/internal/forward/dialect.go
@@ -21,7 +21,7 @@
 	Prompt    int           // tokens of the prompt; 0 if not given
 	Output    int           // maximum tokens of the answer
 	Hint      int           // tokens of the answer that the caller expects; 0 if not given
-	Counted   bool          // the caller gave Prompt and Output
+	Counted   bool          // the caller gave both token counts
 	Key       route.Key     // digest of the caller's API key, if HasKey
 	HasKey    bool
 	LastEvent string      // ID of the event after which the stream resumes
