--- a/internal/forward/body.go
+++ b/internal/forward/body.go
@@ -20,7 +20,7 @@
 	defer func() { _ = p.w.control.SetReadDeadline(time.Time{}) }() // a deadline would also end the server's detection of a caller that disconnects
 	limit := p.view.Table.Limits.BodyBytes
 	if r.ContentLength > limit {
-		p.reject(http.StatusRequestEntityTooLarge, "body_too_large", Error.New("the body exceeds %d bytes", limit))
+		p.reject(http.StatusRequestEntityTooLarge, "body_too_large", Error.New("the body is over %d bytes", limit))
 		return false
 	}
 	var err error
@@ -48,7 +48,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	if int64(len(p.message.Body)) > limit {
-		p.reject(http.StatusRequestEntityTooLarge, "body_too_large", Error.New("the body exceeds %d bytes", limit))
+		p.reject(http.StatusRequestEntityTooLarge, "body_too_large", Error.New("the body is over %d bytes", limit))
 		return false
 	}
 	return true
