--- a/internal/placement/alone_test.go
+++ b/internal/placement/alone_test.go
@@ -9,29 +9,28 @@
 	"github.com/trailshed/trailshed/internal/placement"
 )
 
-// After the loss of everything, instances plan for themselves until they have found
-// their zone's planner, for up to half a second. What had been running is asked for
-// again at that moment: two requests an instance, before 16 prefill and 31 decode
-// engines of which nobody knows anything. Where all chose the same of equal engines,
-// each prompt waited for 26 others, 1.3 s in place of 0.5.
-func TestPlannersThatAreAloneSpread(t *testing.T) {
+// After all instances restart, each plans for itself for up to half a second until it
+// has found its zone's planner. Requests are retried at that moment, two per instance,
+// for 16 prefill and 31 decode engines of unknown load. If all planners chose the same
+// of equal engines, each prompt would wait for 26 others, 1.3 s instead of 0.5 s.
+func TestIsolatedPlannersSpread(t *testing.T) {
 	c := qt.New(t)
 	const instances, prefills, decodes = 26, 16, 31
 	v := viewOf(t, prefills, decodes)
-	reads, decoded := map[string]int{}, map[string]int{}
+	prefilled, decoded := map[string]int{}, map[string]int{}
 	for n := range instances {
 		p := placement.New("a", fmt.Sprint("n", n), paces())
 		p.Apply(0, placement.Known{View: v})
 		for r := range 2 {
-			for _, a := range p.Apply(1, ask(fmt.Sprint(n, "/", r))) {
+			for _, a := range p.Apply(1, request(fmt.Sprint(n, "/", r))) {
 				if g := a.Verdict.Grant; g != nil {
-					reads[g.Prefill]++
+					prefilled[g.Prefill]++
 					decoded[g.Decode]++
 				}
 			}
 		}
 	}
-	for name, counts := range map[string]map[string]int{"prefill": reads, "decode": decoded} {
+	for name, counts := range map[string]map[string]int{"prefill": prefilled, "decode": decoded} {
 		most := 0
 		for _, n := range counts {
 			most = max(most, n)
--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -8,126 +8,129 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// engine is one endpoint of the zone.
+// engine is one endpoint of the zone, as this planner tracks it.
 type engine struct {
 	directory.Endpoint
-	joined     clock.Millis // when this planner learned of it
-	seen       int          // number of the view that told of it last
-	turn       uint64       // its place among equals at this planner
-	capacity   int          // tokens
-	slots      int
-	switchTime time.Duration
-	full       clock.Millis             // nothing is given to it until then
-	failed     clock.Millis             // something is given to it before only if others have no room
-	failures   float64                  // running rate of failed requests
-	reads      map[string]time.Duration // prefills given to it and not finished
-	readSince  clock.Millis             // when the first of them began
-	lastRead   clock.Millis             // when it had read the latest prompt
-	ownRead    clock.Millis             // decode: until when it reads a prompt itself
-	foreign    int                      // requests there that this planner did not place
-	foreignAt  clock.Millis             // when that was learned
-	left       int                      // decode: tokens that others left there
-	leftUntil  clock.Millis             // until when; prefill: until it has read what others left there
-	places     map[string]*place
+	addedAt          clock.Millis // when this planner first saw it
+	lastView         int          // number of the latest view that listed it
+	tieBreak         uint64       // orders engines of equal rank; differs between planners
+	capacity         int          // tokens
+	slots            int
+	switchTime       time.Duration
+	blockedUntil     clock.Millis             // gets no requests until then
+	suspectUntil     clock.Millis             // failed a request: until then it is used only if no other engine has capacity
+	failureRate      float64                  // moving average of failed requests, 0 to 1
+	prefills         map[string]time.Duration // predicted times of the unfinished prefills assigned to it, by attempt
+	prefillSince     clock.Millis             // when the first of them started
+	lastPrefillEnd   clock.Millis             // when the latest prefill ended
+	prefillingUntil  clock.Millis             // decode: until when it prefills a prompt itself
+	externalRequests int                      // requests running there that this planner did not place
+	externalAt       clock.Millis             // when that number was reported
+	leftoverTokens   int                      // decode: tokens held there that this planner did not place, from a load report
+	leftoverUntil    clock.Millis             // decode: until when they count; prefill: until when work placed by others lasts
+	allocations      map[string]*allocation
 }
 
-// read gives a prompt to a prefill engine.
-func (e *engine) read(now clock.Millis, id string, work time.Duration) {
-	if len(e.reads) == 0 {
-		e.readSince = now
+// startPrefill assigns a prompt to a prefill engine.
+func (e *engine) startPrefill(now clock.Millis, id string, work time.Duration) {
+	if len(e.prefills) == 0 {
+		e.prefillSince = now
 	}
-	if e.reads == nil {
-		e.reads = map[string]time.Duration{}
+	if e.prefills == nil {
+		e.prefills = map[string]time.Duration{}
 	}
-	e.reads[id] = work
+	e.prefills[id] = work
 }
 
-// serves says whether an engine may ever be used for a request.
-func (e *engine) serves(a Ask) bool {
-	return e.Service == a.Service && e.State == directory.Ready && !slices.Contains(a.Exclude, e.ID)
+// canServe reports whether the request may use the engine at all, regardless of its
+// load.
+func (e *engine) canServe(req Ask) bool {
+	return e.Service == req.Service && e.State == directory.Ready && !slices.Contains(req.Exclude, e.ID)
 }
 
-// own is what this planner's places are estimated to hold, in tokens.
-func (e *engine) own(now clock.Millis) int {
+// ownTokens estimates the tokens of KV memory that this planner's allocations hold.
+func (e *engine) ownTokens(now clock.Millis) int {
 	total := 0
-	for _, h := range e.places {
-		made := int(max(now.Sub(h.begins), 0) / max(h.step, time.Microsecond))
-		total += h.ask.Prompt + max(fromStart(h.grant.Length), min(made, 2*h.grant.Length))
+	for _, a := range e.allocations {
+		made := int(max(now.Sub(a.firstEventAt), 0) / max(a.tokenTime, time.Microsecond))
+		total += a.req.Prompt + max(initialTokens(a.grant.Length), min(made, 2*a.grant.Length))
 	}
 	return total
 }
 
-// fromStart is the part of an answer that is estimated as memory from its start.
-func fromStart(length int) int { return int(growth * float64(length)) }
+// initialTokens is the part of an answer that counts as memory from its start, in
+// tokens.
+func initialTokens(length int) int { return int(initialAnswerFraction * float64(length)) }
 
-// readDone takes a prompt off a prefill engine; the next one begins.
-func (e *engine) readDone(now clock.Millis, id string) {
-	if _, ok := e.reads[id]; !ok {
+// endPrefill removes a prompt from a prefill engine; the next one starts now.
+func (e *engine) endPrefill(now clock.Millis, id string) {
+	if _, ok := e.prefills[id]; !ok {
 		return
 	}
-	delete(e.reads, id)
-	e.readSince = now
+	delete(e.prefills, id)
+	e.prefillSince = now
 }
 
-// backlog predicts when a prefill engine has read what it was given, here and
-// by others.
-func (p *Planner) backlog(now clock.Millis, e *engine) time.Duration {
+// prefillBacklog predicts how long a prefill engine needs for the prompts assigned to
+// it by this planner and by others.
+func (p *Planner) prefillBacklog(now clock.Millis, e *engine) time.Duration {
 	var own time.Duration
-	for _, work := range e.reads {
+	for _, work := range e.prefills {
 		own += work
 	}
-	done := now.Sub(e.readSince)
+	done := now.Sub(e.prefillSince)
 	others := time.Duration(0)
-	if e.foreign > 0 {
-		if usual := p.usualTurn(e); now.Sub(e.foreignAt) < foreignReads*usual {
-			others = time.Duration(e.foreign) * usual
+	if e.externalRequests > 0 {
+		if usual := p.typicalPrefillInterval(e); now.Sub(e.externalAt) < externalLoadPrompts*usual {
+			others = time.Duration(e.externalRequests) * usual
 		}
 	}
-	left := max(e.leftUntil.Sub(now), 0)
+	left := max(e.leftoverUntil.Sub(now), 0)
 	return max(own+others-done, max(own-done, 0)+left, 0)
 }
 
-// used is what an engine is estimated to hold, in tokens.
-func (p *Planner) used(now clock.Millis, e *engine) int {
-	total := e.own(now)
-	if e.leftUntil > now {
-		return total + e.left
+// usedTokens estimates the tokens of KV memory in use at an engine, including requests
+// of other planners.
+func (p *Planner) usedTokens(now clock.Millis, e *engine) int {
+	total := e.ownTokens(now)
+	if e.leftoverUntil > now {
+		return total + e.leftoverTokens
 	}
-	if e.foreign == 0 || now.Sub(e.foreignAt) > p.foreignFor(e) {
+	if e.externalRequests == 0 || now.Sub(e.externalAt) > p.externalLoadLifetime(e) {
 		return total
 	}
-	size := p.usualSize(e)
-	if len(e.places) > 0 {
-		size = total / len(e.places)
+	size := p.typicalTokens(e)
+	if len(e.allocations) > 0 {
+		size = total / len(e.allocations)
 	}
-	return total + e.foreign*size
+	return total + e.externalRequests*size
 }
 
-// roomAfter is how long until the decode engines that may serve a request have
-// so much memory free, all together; false if there are no such engines. Running
-// answers are taken to free theirs at the rate at which they are predicted to
-// end, since when a single one ends is mostly chance.
-func (p *Planner) roomAfter(now clock.Millis, a Ask, need int) (wait time.Duration, found bool) {
+// timeUntilFree predicts how long until the decode engines that may serve a request
+// have need tokens free in total; found is false if there are no such engines. Memory
+// is assumed to come free at the aggregate rate at which answers are predicted to end,
+// because the end of a single answer can hardly be predicted.
+func (p *Planner) timeUntilFree(now clock.Millis, req Ask, need int) (wait time.Duration, found bool) {
 	perSecond := 0.0
 	for _, e := range p.engines {
-		if !e.serves(a) || e.Stage == directory.Prefill {
+		if !e.canServe(req) || e.Stage == directory.Prefill {
 			continue
 		}
 		found = true
-		need -= max(e.capacity-p.used(now, e), 0)
-		for _, h := range e.places {
-			perSecond += float64(h.size()) / max(h.endsIn(now), endLeast).Seconds()
+		need -= max(e.capacity-p.usedTokens(now, e), 0)
+		for _, a := range e.allocations {
+			perSecond += float64(a.tokens()) / max(a.remaining(now), minTimeToEnd).Seconds()
 		}
 	}
 	switch {
 	case need <= 0:
 		return 0, found
 	case perSecond == 0:
-		return comeBackMost, found
+		return maxRetryAfter, found
 	default:
 		return time.Duration(float64(need) / perSecond * float64(time.Second)), found
 	}
 }
 
-// endLeast is how soon an answer is taken to end at the soonest.
-const endLeast = 50 * time.Millisecond
+// minTimeToEnd is the shortest time that an answer is assumed to still take.
+const minTimeToEnd = 50 * time.Millisecond
--- a/internal/placement/grant.go
+++ b/internal/placement/grant.go
@@ -10,259 +10,261 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// ask answers an ask: with places, with a refusal, or by having it wait.
-func (p *Planner) ask(now clock.Millis, a Ask) {
-	if p.places[a.ID] != nil {
+// handleRequest answers a request with a grant or a refusal, or queues it.
+func (p *Planner) handleRequest(now clock.Millis, req Ask) {
+	if p.allocations[req.ID] != nil {
 		return
 	}
-	if p.over[a.ID] != 0 {
-		p.refuse(a, ReasonMoved, comeBackLeast)
+	if p.ended[req.ID] != 0 {
+		p.refuse(req, ReasonMoved, minRetryAfter)
 		return
 	}
-	p.owners[a.Owner] = now
+	p.ownerSeenAt[req.Owner] = now
 	reason := ReasonFull
-	if !a.Late || !p.inTimeWaits(now, a.Service) {
-		reason = p.place(now, a)
+	if !req.Late || !p.inTimeQueued(now, req.Service) {
+		reason = p.allocate(now, req)
 	}
 	if reason == "" {
 		return
 	}
-	wait, possible := p.predict(now, a)
+	wait, possible := p.predictWait(now, req)
 	if !possible || reason == ReasonNoPrefill {
-		p.refuse(a, reason, comeBackLeast)
+		p.refuse(req, reason, minRetryAfter)
 		return
 	}
-	if !p.wait(now, a, wait) {
-		p.refuse(a, reason, wait)
+	if !p.enqueue(now, req, wait) {
+		p.refuse(req, reason, wait)
 		return
 	}
-	p.effects = append(p.effects, Answer{ID: a.ID, Owner: a.Owner, Verdict: Verdict{Queued: true}})
+	p.answers = append(p.answers, Answer{ID: req.ID, Owner: req.Owner, Verdict: Verdict{Queued: true}})
 }
 
-// decoder returns the decode engine with the most room, of those that may be
-// taken.
-func (p *Planner) decoder(now clock.Millis, a Ask, t trust, may func(*engine) bool) (*engine, string) {
-	if a.Once {
-		t = sound
+// chooseDecoder returns the decode engine with the smallest share of its memory in use,
+// among those that may accepts.
+func (p *Planner) chooseDecoder(now clock.Millis, req Ask, h health, eligible func(*engine) bool) (*engine, string) {
+	if req.Once {
+		h = healthy
 	}
-	need := p.need(a)
+	need := p.neededTokens(req)
 	var best *engine
 	least, risk := 0.0, false
-	list := p.open(now, a, t, func(s directory.Stage) bool { return s != directory.Prefill })
+	list := p.usable(now, req, h, func(s directory.Stage) bool { return s != directory.Prefill })
 	for _, e := range list {
-		if !may(e) {
+		if !eligible(e) {
 			continue
 		}
-		used := p.used(now, e)
-		if a.Late && used > 0 {
-			// Room for one more is left for whoever comes next and may be in time.
-			used += p.usualSize(e)
+		used := p.usedTokens(now, e)
+		if req.Late && used > 0 {
+			// A late request leaves memory for one more, which may still be in time.
+			used += p.typicalTokens(e)
 		}
-		if used+need > e.capacity && used > 0 || len(e.places) >= e.slots {
+		if used+need > e.capacity && used > 0 || len(e.allocations) >= e.slots {
 			continue
 		}
-		share, risky := float64(used)/float64(max(e.capacity, 1)), a.Once && e.failures > onceMost
-		if best == nil || risk && !risky || risk == risky && before(share, least, e, best) {
+		share, risky := float64(used)/float64(max(e.capacity, 1)), req.Once && e.failureRate > maxOnceFailureRate
+		if best == nil || risk && !risky || risk == risky && ranksBefore(share, least, e, best) {
 			best, least, risk = e, share, risky
 		}
 	}
 	switch {
 	case best != nil:
 		return best, ""
-	case len(list) == 0 && !p.known(a, directory.Decode):
+	case len(list) == 0 && !p.hasEngine(req, directory.Decode):
 		return nil, ReasonNoEndpoint
 	default:
 		return nil, ReasonFull
 	}
 }
 
-// reader returns the prefill engine that is free the soonest, if that is soon
-// enough.
-func (p *Planner) reader(now clock.Millis, a Ask, t trust) (*engine, string) {
+// choosePrefiller returns the prefill engine with the shortest backlog, if the request
+// can meet its deadline there.
+func (p *Planner) choosePrefiller(now clock.Millis, req Ask, h health) (*engine, string) {
 	var best *engine
 	var least time.Duration
-	for _, e := range p.open(now, a, t, func(s directory.Stage) bool { return s == directory.Prefill }) {
-		if wait := p.backlog(now, e); best == nil || before(wait, least, e, best) {
+	for _, e := range p.usable(now, req, h, func(s directory.Stage) bool { return s == directory.Prefill }) {
+		if wait := p.prefillBacklog(now, e); best == nil || ranksBefore(wait, least, e, best) {
 			best, least = e, wait
 		}
 	}
 	switch {
-	case best == nil && p.known(a, directory.Prefill):
+	case best == nil && p.hasEngine(req, directory.Prefill):
 		return nil, ReasonBusy
 	case best == nil:
 		return nil, ReasonNoPrefill
-	case a.Late && least > 0: // it takes only what those leave who can be in time
+	case req.Late && least > 0: // late requests only use idle prefill engines
 		return nil, ReasonBusy
-	case least+p.least(a) > a.Budget && !a.Late:
+	case least+p.minTimeToFirstEvent(req) > req.Budget && !req.Late:
 		return nil, ReasonBusy
 	default:
 		return best, ""
 	}
 }
 
-// before says whether e, of a figure, comes before best, of figure least. Equals go
-// by their turns, so that the same events bring the same grants, and planners that
-// do not hear each other, as in the half second after the loss of everything, do not
-// all choose the same.
-func before[T cmp.Ordered](figure, least T, e, best *engine) bool {
-	return figure < least || figure == least && e.turn < best.turn
+// ranksBefore reports whether engine e with value figure ranks before best with value
+// least. Equals are ordered by tieBreak: the same events always give the same grants,
+// and planners that are not connected, as in the half second after all instances
+// restart, do not all choose the same engine.
+func ranksBefore[T cmp.Ordered](value, bestValue T, e, best *engine) bool {
+	return value < bestValue || value == bestValue && e.tieBreak < best.tieBreak
 }
 
-// known says whether any engine of a stage may ever serve a request.
-func (p *Planner) known(a Ask, stage directory.Stage) bool {
+// hasEngine reports whether any engine of a stage could serve the request, regardless
+// of load.
+func (p *Planner) hasEngine(req Ask, stage directory.Stage) bool {
 	for _, e := range p.engines {
-		if e.serves(a) && (e.Stage == directory.Prefill) == (stage == directory.Prefill) {
+		if e.canServe(req) && (e.Stage == directory.Prefill) == (stage == directory.Prefill) {
 			return true
 		}
 	}
 	return false
 }
 
-// open returns the engines that may be used: those that are trusted, or all that
-// are not full if none is.
-func (p *Planner) open(now clock.Millis, a Ask, t trust, fits func(directory.Stage) bool) []*engine {
-	var all, trusted []*engine
+// usable returns the acceptable engines, or all if none is acceptable, in both cases
+// without those that are blocked.
+func (p *Planner) usable(now clock.Millis, req Ask, h health, fits func(directory.Stage) bool) []*engine {
+	var all, accepted []*engine
 	for _, e := range p.engines {
-		if !e.serves(a) || !fits(e.Stage) {
+		if !e.canServe(req) || !fits(e.Stage) {
 			continue
 		}
 		all = append(all, e)
-		if e.trusted(now, a, t) {
-			trusted = append(trusted, e)
+		if e.acceptable(now, req, h) {
+			accepted = append(accepted, e)
 		}
 	}
-	if len(trusted) == 0 {
-		trusted = all
+	if len(accepted) == 0 {
+		accepted = all
 	}
-	trusted = slices.DeleteFunc(trusted, func(e *engine) bool { return e.full > now })
-	return trusted
+	accepted = slices.DeleteFunc(accepted, func(e *engine) bool { return e.blockedUntil > now })
+	return accepted
 }
 
-// predict is how long until some engine has room for a request and for those
-// that wait; false if none can have.
-func (p *Planner) predict(now clock.Millis, a Ask) (time.Duration, bool) {
-	read := time.Duration(0)
-	switch a.Part {
+// predictWait predicts how long until there is capacity for the request and those
+// queued before it; it returns false if no engine could ever serve it.
+func (p *Planner) predictWait(now clock.Millis, req Ask) (time.Duration, bool) {
+	prefillWait := time.Duration(0)
+	switch req.Part {
 	case ReadOnly:
-		read = p.leastBacklog(now, a)
+		prefillWait = p.minBacklog(now, req)
 	case Both:
-		read = min(p.leastBacklog(now, a), p.leastOwnRead(now, a))
+		prefillWait = min(p.minBacklog(now, req), p.minSelfPrefillWait(now, req))
 	case DecodeOnly, Whole:
 	}
-	if a.Part == ReadOnly {
-		return read, p.known(a, directory.Prefill)
+	if req.Part == ReadOnly {
+		return prefillWait, p.hasEngine(req, directory.Prefill)
 	}
-	need := p.need(a)
-	for _, w := range p.queue {
-		if w.ask.Service == a.Service && w.ask.ID != a.ID {
-			need += w.need
+	need := p.neededTokens(req)
+	for _, q := range p.queue {
+		if q.req.Service == req.Service && q.req.ID != req.ID {
+			need += q.neededTokens
 		}
 	}
-	room, found := p.roomAfter(now, a, need)
-	return max(room, read), found
+	memoryWait, found := p.timeUntilFree(now, req, need)
+	return max(memoryWait, prefillWait), found
 }
 
-// leastBacklog is how long until some prefill engine is free.
-func (p *Planner) leastBacklog(now clock.Millis, a Ask) time.Duration {
+// minBacklog returns the shortest backlog of the prefill engines that may serve the
+// request.
+func (p *Planner) minBacklog(now clock.Millis, req Ask) time.Duration {
 	least, found := time.Duration(0), false
 	for _, e := range p.engines {
-		if e.Stage != directory.Prefill || !e.serves(a) {
+		if e.Stage != directory.Prefill || !e.canServe(req) {
 			continue
 		}
-		if wait := p.backlog(now, e); !found || wait < least {
+		if wait := p.prefillBacklog(now, e); !found || wait < least {
 			least, found = wait, true
 		}
 	}
 	return least
 }
 
-func (p *Planner) refuse(a Ask, reason string, after time.Duration) {
-	after = min(max(after, comeBackLeast), comeBackMost)
-	p.effects = append(p.effects, Answer{ID: a.ID, Owner: a.Owner, Verdict: Verdict{
-		Refusal: &Refusal{ID: a.ID, Reason: reason, After: after},
+func (p *Planner) refuse(req Ask, reason string, retryAfter time.Duration) {
+	retryAfter = min(max(retryAfter, minRetryAfter), maxRetryAfter)
+	p.answers = append(p.answers, Answer{ID: req.ID, Owner: req.Owner, Verdict: Verdict{
+		Refusal: &Refusal{ID: req.ID, Reason: reason, After: retryAfter},
 	}})
 }
 
-func (p *Planner) hold(e *engine, h *place) {
-	p.places[h.ask.ID] = h
+func (p *Planner) addAllocation(e *engine, a *allocation) {
+	p.allocations[a.req.ID] = a
 	if e == nil {
 		return
 	}
-	if e.places == nil {
-		e.places = map[string]*place{}
+	if e.allocations == nil {
+		e.allocations = map[string]*allocation{}
 	}
-	e.places[h.ask.ID] = h
+	e.allocations[a.req.ID] = a
 }
 
-// place grants a request if there is room for it now; else it says why not. Only
-// where sound engines have no room is it given to one that failed lately.
-func (p *Planner) place(now clock.Millis, a Ask) (reason string) {
-	reason = p.placeAt(now, a, sound)
-	if reason != ReasonFull && reason != ReasonBusy || a.Final || !p.someFail(now, a) {
+// allocate grants the request if there is capacity now, and returns the reason
+// otherwise. Suspect engines are used only if the healthy ones have no capacity.
+func (p *Planner) allocate(now clock.Millis, req Ask) (reason string) {
+	reason = p.allocateFrom(now, req, healthy)
+	if reason != ReasonFull && reason != ReasonBusy || req.Final || !p.hasSuspect(now, req) {
 		return reason
 	}
-	if p.placeAt(now, a, doubtful) == "" {
+	if p.allocateFrom(now, req, suspect) == "" {
 		return ""
 	}
 	return reason
 }
 
-// placeAt is the same for engines of a trust.
-func (p *Planner) placeAt(now clock.Millis, a Ask, t trust) (reason string) {
-	var decode, reader *engine
-	if a.Part != ReadOnly {
-		if decode, reason = p.decoder(now, a, t, anyEngine); decode == nil {
+// allocateFrom is like allocate, with engines of the given health.
+func (p *Planner) allocateFrom(now clock.Millis, req Ask, h health) (reason string) {
+	var decode, prefill *engine
+	if req.Part != ReadOnly {
+		if decode, reason = p.chooseDecoder(now, req, h, anyEngine); decode == nil {
 			return reason
 		}
 	}
-	if a.Part == Both || a.Part == ReadOnly {
-		reader, reason = p.reader(now, a, t)
-		if own := p.readingDecoder(now, a, t, decode, reader, reason); own != nil {
-			decode, reader, reason = own, nil, ""
+	if req.Part == Both || req.Part == ReadOnly {
+		prefill, reason = p.choosePrefiller(now, req, h)
+		if self := p.chooseSelfPrefiller(now, req, h, decode, prefill, reason); self != nil {
+			decode, prefill, reason = self, nil, ""
 		}
 		if reason != "" {
 			return reason
 		}
 	}
-	p.grant(now, a, decode, reader)
+	p.grant(now, req, decode, prefill)
 	return ""
 }
 
 func anyEngine(*engine) bool { return true }
 
-// grant gives a request its engines, either of which may be nil. A decode engine
-// without a reader beside it reads the prompt itself, if that is asked for too.
-func (p *Planner) grant(now clock.Millis, a Ask, decode, reader *engine) {
-	g := Grant{ID: a.ID}
-	h := &place{ask: a, granted: now}
+// grant assigns engines to a request; either may be nil. Without a prefill engine the
+// decode engine prefills the prompt itself, if the request needs that stage too.
+func (p *Planner) grant(now clock.Millis, req Ask, decode, prefill *engine) {
+	g := Grant{ID: req.ID}
+	a := &allocation{req: req, grantedAt: now}
 	if decode != nil {
-		act := decodeAct(a.Part, reader != nil)
-		g.Decode, g.Used, g.Length = decode.ID, p.used(now, decode), p.length(a)
-		g.Begin = p.paces.Likely(act, a.Service, decode.ID, a.Prompt)
-		h.step = p.paces.Step(a.Service, decode.ID, len(decode.places))
-		if act == pace.Whole {
-			decode.ownRead = now.Add(g.Begin)
+		quantity := firstEventQuantity(req.Part, prefill != nil)
+		g.Decode, g.Used, g.Length = decode.ID, p.usedTokens(now, decode), p.answerTokens(req)
+		g.Begin = p.model.Likely(quantity, req.Service, decode.ID, req.Prompt)
+		a.tokenTime = p.model.Step(req.Service, decode.ID, len(decode.allocations))
+		if quantity == pace.Whole {
+			decode.prefillingUntil = now.Add(g.Begin)
 		}
 	}
-	if reader != nil {
-		g.Prefill, g.Wait = reader.ID, p.backlog(now, reader)
-		g.Read = p.readTime(a.Service, reader.ID, a.Prompt)
-		reader.read(now, a.ID, p.turnTime(a.Service, reader.ID, a.Prompt))
+	if prefill != nil {
+		g.Prefill, g.Wait = prefill.ID, p.prefillBacklog(now, prefill)
+		g.Read = p.prefillTime(req.Service, prefill.ID, req.Prompt)
+		prefill.startPrefill(now, req.ID, p.prefillInterval(req.Service, prefill.ID, req.Prompt))
 	}
-	for _, e := range []*engine{decode, reader} {
-		if e != nil && now.Sub(e.joined) < newFor {
+	for _, e := range []*engine{decode, prefill} {
+		if e != nil && now.Sub(e.addedAt) < newEngineInterval {
 			g.New = append(g.New, e.Endpoint)
 		}
 	}
-	h.grant, h.begins = g, now.Add(g.Wait+g.Read+g.Begin)
-	p.hold(decode, h)
-	p.effects = append(p.effects, Answer{ID: a.ID, Owner: a.Owner, Verdict: Verdict{Grant: &g}})
+	a.grant, a.firstEventAt = g, now.Add(g.Wait+g.Read+g.Begin)
+	p.addAllocation(decode, a)
+	p.answers = append(p.answers, Answer{ID: req.ID, Owner: req.Owner, Verdict: Verdict{Grant: &g}})
 }
 
-// decodeAct is what a decode engine does until the first event: it begins, or it
-// reads the prompt itself before, where no other engine does.
-func decodeAct(part Part, reader bool) pace.Act {
-	if part == Whole || part == Both && !reader {
+// firstEventQuantity returns what a decode engine's time to the first event covers: only
+// starting to decode, or also the prefill, if no other engine does that.
+func firstEventQuantity(part Part, prefill bool) pace.Act {
+	if part == Whole || part == Both && !prefill {
 		return pace.Whole
 	}
 	return pace.Begin
--- a/internal/placement/learn_test.go
+++ b/internal/placement/learn_test.go
@@ -12,18 +12,18 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// A planner learns how fast engines are from what entries tell it, and its
-// grants carry what it predicts.
-func TestGrantsFollowWhatWasSeen(t *testing.T) {
+// A planner learns engine timings from the reports of gateways and includes its
+// predictions in grants.
+func TestGrantsUseLearnedTimings(t *testing.T) {
 	c := qt.New(t)
 	p := planner(t, 1)
 	now := clock.Millis(1000)
 	routed := func(id string) placement.Ask {
-		a := ask(id)
+		a := request(id)
 		a.Route = "r"
 		return a
 	}
-	before := verdict(p.Apply(now, routed("before")), "before").Grant
+	before := decision(p.Apply(now, routed("before")), "before").Grant
 	c.Assert(before.Read, qt.Equals, 100*time.Millisecond)
 	c.Assert(before.Begin, qt.Equals, 70*time.Millisecond)
 	p.Apply(now, placement.Release{ID: "before", Owner: "n1"})
@@ -37,15 +37,15 @@
 			Begin: 40 * time.Millisecond, Tokens: 400, Decoding: 4 * time.Second, Ended: 409,
 		}})
 	}
-	after := verdict(p.Apply(now, routed("after")), "after").Grant
+	after := decision(p.Apply(now, routed("after")), "after").Grant
 	c.Assert(after.Read, qt.Equals, 300*time.Millisecond)
 	c.Assert(after.Begin, qt.Equals, 40*time.Millisecond)
 	c.Assert(after.Length, qt.Equals, 409)
 }
 
-// What a prompt takes while it waits behind others tells nothing of how soon an
-// idle engine answers, and an answer's delay is no work that holds up the next.
-func TestWaitingIsNotReading(t *testing.T) {
+// The time of a prompt that queued behind others says nothing about how soon an idle
+// engine answers, and the delay of an answer does not delay the next prompt.
+func TestQueueingTimeIsNotPrefillTime(t *testing.T) {
 	c := qt.New(t)
 	m := paces()
 	p := placement.New("a", "n2", m)
@@ -53,17 +53,17 @@
 	now := clock.Millis(1000)
 	for round := range 8 {
 		for i := range 3 {
-			a := ask(fmt.Sprint(round, "-", i))
-			c.Assert(verdict(p.Apply(now, a), a.ID).Grant, qt.IsNotNil)
+			a := request(fmt.Sprint(round, "-", i))
+			c.Assert(decision(p.Apply(now, a), a.ID).Grant, qt.IsNotNil)
 		}
-		// 80 ms for each, and each is answered 50 ms after it was read.
+		// Each takes 80 ms and is answered 50 ms after its prefill.
 		for i := range 3 {
 			took := 50*time.Millisecond + time.Duration(i+1)*80*time.Millisecond
 			p.Apply(now.Add(took), placement.Progress{ID: fmt.Sprint(round, "-", i), Read: true, Took: took})
 			p.Apply(now.Add(took), placement.Release{ID: fmt.Sprint(round, "-", i), Owner: "n1"})
 		}
 		now = now.Add(time.Second)
-		alone := ask(fmt.Sprint(round, "-alone"))
+		alone := request(fmt.Sprint(round, "-alone"))
 		p.Apply(now, alone)
 		p.Apply(now.Add(130*time.Millisecond), placement.Progress{ID: alone.ID, Read: true, Took: 130 * time.Millisecond})
 		p.Apply(now.Add(130*time.Millisecond), placement.Release{ID: alone.ID, Owner: "n1"})
@@ -73,9 +73,9 @@
 	c.Assert(m.Span(pace.Turn, "llm", "p1", 5000).Likely, qt.Equals, 80*time.Millisecond)
 }
 
-// What was learned of an engine goes with it: a service's engines are replaced
-// each day by the thousand, and each would stay in memory and in the medians.
-func TestEnginesThatAreGoneAreForgotten(t *testing.T) {
+// Timings of an engine are dropped with the engine: engines of a service are replaced
+// by the thousand each day, and would stay in memory and in the medians.
+func TestRemovedEnginesAreForgotten(t *testing.T) {
 	c := qt.New(t)
 	m := paces()
 	p := placement.New("a", "n2", m)
--- a/internal/placement/load_test.go
+++ b/internal/placement/load_test.go
@@ -15,10 +15,10 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// Engines and requests of the load tests are those of the large fleet's data
-// sheet: 25 engines in a zone, of 12 slots and 45,991 tokens; 55.6 tokens of a
-// prompt a ms, half of that at a decode engine; about 4.3 ms a token beside
-// others; prompts of 5,200 and answers of 780 tokens; first events within 900 ms.
+// Engines and requests of the load tests follow the data sheet of the large fleet: 25
+// engines per zone with 12 slots and 45,991 tokens; prefill of 55.6 tokens per ms, half
+// of that at a decode engine; about 4.3 ms per token besides other requests; prompts of
+// 5,200 and answers of 780 tokens; first events within 900 ms.
 const (
 	loadSlots  = 12
 	loadTokens = 45_991
@@ -32,46 +32,46 @@
 	WholeToken: 36 * time.Microsecond, Step: 4300 * time.Microsecond, LengthPart: 0.42,
 }
 
-// load is a zone of engines in emulated time, which work as loadFigures say.
-type load struct {
-	planner *placement.Planner
-	random  *rand.Rand
-	now     clock.Millis
-	free    map[string]clock.Millis // prefill engines: when they have read all they were given
-	slowed  map[string]time.Duration
-	asks    map[string]*loadAsk
-	due     map[clock.Millis][]func()
-	lossy   func(engine string, now clock.Millis) bool // it loses loadLoss of its answers
-	dark    func(engine string, now clock.Millis) bool // it cannot be reached
-	result  loadResult
+// simulation simulates a zone of engines with the timings of loadFigures.
+type simulation struct {
+	planner      *placement.Planner
+	random       *rand.Rand
+	now          clock.Millis
+	prefillsDone map[string]clock.Millis // prefill engines: when their assigned prompts are done
+	delays       map[string]time.Duration
+	requests     map[string]*simulatedRequest
+	events       map[clock.Millis][]func()
+	lossy        func(engine string, now clock.Millis) bool // whether it loses lossRatio of its answers
+	unreachable  func(engine string, now clock.Millis) bool // whether it is unreachable
+	result       simulationResult
 }
 
-// loadLoss is the part of answers that a lossy engine loses, by a reset as soon
-// as a request has come.
-const loadLoss = 0.4
+// lossRatio is the fraction of answers that a lossy engine loses, by a reset on arrival
+// of the request.
+const lossRatio = 0.4
 
-// loadDial is how long it takes to find out that an engine cannot be reached.
-const loadDial = 100 * time.Millisecond
+// dialTimeout is how long it takes to detect that an engine is unreachable.
+const dialTimeout = 100 * time.Millisecond
 
-type loadAsk struct {
+type simulatedRequest struct {
 	placement.Ask
-	came  clock.Millis
-	sends int // to decode engines; two may fail
-	again int
+	arrivedAt      clock.Millis
+	decodeAttempts int // attempts that a decode engine may have run, at most two
+	retries        int
 }
 
-// loadResult counts requests, and the time that those were kept waiting which
-// were refused in the end.
-type loadResult struct {
+// simulationResult counts requests, and the total time that refused requests were kept
+// waiting.
+type simulationResult struct {
 	inTime, late, refused, failed int
-	inVain                        time.Duration
+	refusedWait                   time.Duration
 }
 
-func (r loadResult) share() float64 {
+func (r simulationResult) share() float64 {
 	return float64(r.inTime) / float64(r.inTime+r.late+r.refused+r.failed)
 }
 
-func newLoad(t testing.TB, prefills, decodes int) *load {
+func newSimulation(t testing.TB, prefills, decodes int) *simulation {
 	table, err := route.NewTable(route.Document{Version: 1, Services: []route.Service{
 		{Name: "llm", Engine: &route.Engine{Slots: loadSlots, KVTokens: loadTokens}},
 	}})
@@ -89,10 +89,10 @@
 	m.Tell("test", []pace.Figure{
 		{Service: "llm", Act: pace.Prompt, Base: meanPrompt}, {Service: "llm", Act: pace.Answer, Base: meanAnswer},
 	})
-	l := &load{
-		planner: placement.New("a", "n2", m), random: rand.New(rand.NewPCG(7, 7)), free: map[string]clock.Millis{},
-		slowed: map[string]time.Duration{}, asks: map[string]*loadAsk{}, due: map[clock.Millis][]func(){},
-		lossy: never, dark: never,
+	l := &simulation{
+		planner: placement.New("a", "n2", m), random: rand.New(rand.NewPCG(7, 7)), prefillsDone: map[string]clock.Millis{},
+		delays: map[string]time.Duration{}, requests: map[string]*simulatedRequest{}, events: map[clock.Millis][]func(){},
+		lossy: never, unreachable: never,
 	}
 	l.planner.Apply(0, placement.Known{View: v})
 	return l
@@ -100,13 +100,13 @@
 
 func never(string, clock.Millis) bool { return false }
 
-// play lets time pass; rate is how many requests come a second at a moment.
-func (l *load) play(until clock.Millis, rate func(clock.Millis) float64) loadResult {
+// run advances the simulation; rate returns the requests per second at a time.
+func (l *simulation) run(until clock.Millis, rate func(clock.Millis) float64) simulationResult {
 	for ; l.now < until; l.now++ {
-		for _, f := range l.due[l.now] {
+		for _, f := range l.events[l.now] {
 			f()
 		}
-		delete(l.due, l.now)
+		delete(l.events, l.now)
 		if l.random.Float64() < rate(l.now)/1000 {
 			l.arrive()
 		}
@@ -117,130 +117,130 @@
 	return l.result
 }
 
-func (l *load) after(d time.Duration, f func()) {
-	at := max(l.now.Add(d), l.now+1)
-	l.due[at] = append(l.due[at], f)
+func (l *simulation) schedule(delay time.Duration, f func()) {
+	at := max(l.now.Add(delay), l.now+1)
+	l.events[at] = append(l.events[at], f)
 }
 
-func (l *load) arrive() {
+func (l *simulation) arrive() {
 	output := max(int(l.random.ExpFloat64()*meanAnswer), 20)
-	a := &loadAsk{came: l.now, Ask: placement.Ask{
-		ID: fmt.Sprint(len(l.asks)), Owner: "n", Service: "llm", Budget: loadTarget, Hold: 3 * loadTarget,
-		Once:   len(l.asks)%3 == 0, // as a third of the large fleet's streams
+	a := &simulatedRequest{arrivedAt: l.now, Ask: placement.Ask{
+		ID: fmt.Sprint(len(l.requests)), Owner: "n", Service: "llm", Budget: loadTarget, Hold: 3 * loadTarget,
+		Once:   len(l.requests)%3 == 0, // a third of the large fleet's streams
 		Prompt: int((0.5 + l.random.Float64()) * meanPrompt), Output: min(output, 4*meanAnswer), Most: 4 * meanAnswer,
 	}}
-	l.asks[a.ID] = a
+	l.requests[a.ID] = a
 	l.apply(a.Ask)
 }
 
-func (l *load) apply(e placement.Event) {
+func (l *simulation) apply(e placement.Event) {
 	for _, answer := range l.planner.Apply(l.now, e) {
-		l.take(l.asks[answer.ID], answer.Verdict)
+		l.handleDecision(l.requests[answer.ID], answer.Verdict)
 	}
 }
 
-// take does what an entry does with a verdict: it asks once more, with
-// patience, after a first refusal.
-func (l *load) take(a *loadAsk, v placement.Verdict) {
+// handleDecision handles a decision like a gateway: after a first refusal it requests
+// again and accepts being queued.
+func (l *simulation) handleDecision(a *simulatedRequest, v placement.Verdict) {
 	switch {
 	case v.Grant != nil:
 		l.serve(a, *v.Grant)
 	case v.Refusal != nil && !a.Patient:
 		a.Patient = true
-		l.after(time.Millisecond, func() { l.apply(a.Ask) })
+		l.schedule(time.Millisecond, func() { l.apply(a.Ask) })
 	case v.Refusal != nil:
 		l.result.refused++
-		l.result.inVain += l.now.Sub(a.came)
+		l.result.refusedWait += l.now.Sub(a.arrivedAt)
 	}
 }
 
-func (l *load) serve(a *loadAsk, g placement.Grant) {
+func (l *simulation) serve(a *simulatedRequest, g placement.Grant) {
 	tokens := func(n int, each time.Duration) time.Duration { return time.Duration(n) * each }
 	switch {
 	case g.Prefill == "" && a.Part == placement.DecodeOnly:
-		l.begin(a, g)
+		l.sendToDecoder(a, g)
 	case g.Prefill == "":
 		read := tokens(a.Prompt, loadFigures.WholeToken)
-		if l.loses(a, g.Decode, placement.Both, 1) {
+		if l.drops(a, g.Decode, placement.Both, 1) {
 			return
 		}
-		l.slowed[g.Decode] += read
-		l.after(read+loadFigures.Begin, func() { l.decode(a, g) })
-	case l.loses(a, g.Prefill, placement.Both, 0):
+		l.delays[g.Decode] += read
+		l.schedule(read+loadFigures.Begin, func() { l.startAnswer(a, g) })
+	case l.drops(a, g.Prefill, placement.Both, 0):
 	default:
 		sent := l.now
-		l.free[g.Prefill] = max(l.free[g.Prefill], l.now).Add(tokens(a.Prompt, loadFigures.ReadToken))
-		l.after(l.free[g.Prefill].Sub(l.now)+loadFigures.ReadSetup, func() {
+		l.prefillsDone[g.Prefill] = max(l.prefillsDone[g.Prefill], l.now).Add(tokens(a.Prompt, loadFigures.ReadToken))
+		l.schedule(l.prefillsDone[g.Prefill].Sub(l.now)+loadFigures.ReadSetup, func() {
 			l.apply(placement.Progress{ID: a.ID, Read: true, Running: 1, Took: l.now.Sub(sent)})
-			l.begin(a, g)
+			l.sendToDecoder(a, g)
 		})
 	}
 }
 
-// begin sends a request to the decode engine that takes its KV cache.
-func (l *load) begin(a *loadAsk, g placement.Grant) {
-	if !l.loses(a, g.Decode, placement.DecodeOnly, 1) { // else the cache was not taken
-		l.after(loadFigures.Begin, func() { l.decode(a, g) })
+// sendToDecoder sends a request to the decode engine, which fetches its KV cache.
+func (l *simulation) sendToDecoder(a *simulatedRequest, g placement.Grant) {
+	if !l.drops(a, g.Decode, placement.DecodeOnly, 1) { // otherwise the cache was not fetched
+		l.schedule(loadFigures.Begin, func() { l.startAnswer(a, g) })
 	}
 }
 
-// loses says whether an engine loses a request, which is asked for again then;
-// runs is 1 if the engine may have run it.
-func (l *load) loses(a *loadAsk, engine string, part placement.Part, runs int) bool {
+// drops reports whether an engine drops a request, which is then retried; runs is 1 if
+// the engine may have run it.
+func (l *simulation) drops(a *simulatedRequest, engine string, part placement.Part, runs int) bool {
 	switch {
-	case l.dark(engine, l.now):
-		l.after(loadDial, func() { l.fail(a, engine, part, 0) })
+	case l.unreachable(engine, l.now):
+		l.schedule(dialTimeout, func() { l.retry(a, engine, part, 0) })
 		return true
-	case l.lossy(engine, l.now) && l.random.Float64() < loadLoss:
-		l.fail(a, engine, part, runs)
+	case l.lossy(engine, l.now) && l.random.Float64() < lossRatio:
+		l.retry(a, engine, part, runs)
 		return true
 	}
 	return false
 }
 
-// fail asks for other engines, as an entry does while it may send again.
-func (l *load) fail(a *loadAsk, engine string, part placement.Part, runs int) {
+// retry requests other engines, like a gateway that may retry.
+func (l *simulation) retry(a *simulatedRequest, engine string, part placement.Part, runs int) {
 	l.apply(placement.Release{ID: a.ID, Owner: "n", Failed: engine})
-	a.sends += runs
-	a.again++
-	if a.sends > 0 && a.Once || a.again > 4 {
+	a.decodeAttempts += runs
+	a.retries++
+	if a.decodeAttempts > 0 && a.Once || a.retries > 4 {
 		l.result.failed++
 		return
 	}
-	delete(l.asks, a.ID)
+	delete(l.requests, a.ID)
 	a.ID += "+"
 	a.Exclude, a.Part, a.Patient = append(a.Exclude, engine), part, false
-	a.Budget = max(a.came.Add(loadTarget).Sub(l.now), 0)
-	a.Late, a.Once = a.Budget == 0, a.Once || a.sends > 0
-	l.asks[a.ID] = a
-	l.after(time.Millisecond, func() { l.apply(a.Ask) })
+	a.Budget = max(a.arrivedAt.Add(loadTarget).Sub(l.now), 0)
+	a.Late, a.Once = a.Budget == 0, a.Once || a.decodeAttempts > 0
+	l.requests[a.ID] = a
+	l.schedule(time.Millisecond, func() { l.apply(a.Ask) })
 }
 
-// decode counts the first event and ends the answer, later if its engine read
-// prompts meanwhile.
-func (l *load) decode(a *loadAsk, g placement.Grant) {
+// startAnswer counts the first event and schedules the end of the answer, which is delayed
+// by prompts that the engine prefills meanwhile.
+func (l *simulation) startAnswer(a *simulatedRequest, g placement.Grant) {
 	l.apply(placement.Progress{ID: a.ID, Running: 1})
-	if l.now.Sub(a.came) <= loadTarget {
+	if l.now.Sub(a.arrivedAt) <= loadTarget {
 		l.result.inTime++
 	} else {
 		l.result.late++
 	}
-	slowed := l.slowed[g.Decode]
+	slowed := l.delays[g.Decode]
 	var end func()
 	end = func() {
-		if more := l.slowed[g.Decode] - slowed; more > 0 {
-			slowed = l.slowed[g.Decode]
-			l.after(more, end)
+		if more := l.delays[g.Decode] - slowed; more > 0 {
+			slowed = l.delays[g.Decode]
+			l.schedule(more, end)
 			return
 		}
 		l.apply(placement.Release{ID: a.ID, Owner: "n"})
 	}
-	l.after(time.Duration(a.Output)*loadFigures.Step, end)
+	l.schedule(time.Duration(a.Output)*loadFigures.Step, end)
 }
 
-// bursting is the rate of a zone in the large fleet's busiest hour, 23 requests a
-// second, at so many times that from 8 to 13 s.
-func bursting(times float64) func(clock.Millis) float64 {
+// burstRate is the rate of a zone in the large fleet's busiest hour, 23 requests a
+// second, multiplied by times from 8 to 13 s.
+func burstRate(times float64) func(clock.Millis) float64 {
 	return func(now clock.Millis) float64 {
 		if now >= 8000 && now < 13_000 {
 			return 23 * times
@@ -249,8 +249,8 @@
 	}
 }
 
-// lost and dark are parts of the engines from 8 to 14 s.
-func part(share float64) func(string, clock.Millis) bool {
+// duringFault selects a share of the engines from 8 to 14 s.
+func duringFault(share float64) func(string, clock.Millis) bool {
 	return func(engine string, now clock.Millis) bool {
 		var n int
 		_, err := fmt.Sscanf(engine, "e%d", &n)
@@ -258,21 +258,21 @@
 	}
 }
 
-// The load pattern is a burst of five seconds in a zone of 25 engines, as each of
-// the large fleet's days has three. It fills prefill engines at once, and decode
-// memory only over the time of an answer. Requests that cannot be in time at a
-// prefill engine are read by decode engines then, and engines that lose some
-// answers are used where the others have no room. While prefill engines alone read
-// and engines that failed got nothing for a second, these shares were in time, in
-// the order of the table: 1, 1, 0.999, 0.887, 0.886, 0.820, 0.998, 0.883; and up to
-// 43 callers were kept for two seconds and more, and then refused.
-func TestBurstIsReadByDecodeEngines(t *testing.T) {
+// The load is a burst of five seconds in a zone of 25 engines, as happens three times
+// on each day of the large fleet. It fills prefill engines at once and decode memory
+// only over the duration of an answer. Requests that cannot be in time at a prefill
+// engine are then prefilled by decode engines, and engines that lose some answers are
+// used if the others have no capacity. Without both, with prefill at prefill engines
+// only and engines that failed blocked for a second, these shares were in time, in the
+// order of the table: 1, 1, 0.999, 0.887, 0.886, 0.820, 0.998, 0.883; and up to 43
+// callers waited for two seconds or more before they were refused.
+func TestDecodeEnginesPrefillInBursts(t *testing.T) {
 	tests := []struct {
 		name              string
 		prefills, decodes int
 		times             float64
-		lossy, dark       float64 // parts of the engines
-		inTime            float64 // at least
+		lossy, dark       float64 // shares of the engines
+		inTime            float64 // minimum share of requests
 	}{
 		{"the usual rate", 5, 20, 1, 0, 0, 0.999},
 		{"a burst", 5, 20, 1.7, 0, 0, 0.99},
@@ -280,14 +280,14 @@
 		{"a large burst, few prefill engines", 3, 22, 2, 0, 0, 0.99},
 		{"a burst, and answers lost", 5, 20, 1.7, 0.6, 0, 0.94},
 		{"a large burst, and answers lost", 5, 20, 2.2, 0.6, 0, 0.91},
-		{"a burst, and engines dark", 5, 20, 1.7, 0, 0.2, 0.99},
-		{"a large burst, and engines dark", 5, 20, 2.2, 0, 0.2, 0.89},
+		{"a burst, and engines unreachable", 5, 20, 1.7, 0, 0.2, 0.99},
+		{"a large burst, and engines unreachable", 5, 20, 2.2, 0, 0.2, 0.89},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			l := newLoad(t, test.prefills, test.decodes)
-			l.lossy, l.dark = part(test.lossy), part(test.dark)
-			got := l.play(25_000, bursting(test.times))
+			l := newSimulation(t, test.prefills, test.decodes)
+			l.lossy, l.unreachable = duringFault(test.lossy), duringFault(test.dark)
+			got := l.run(25_000, burstRate(test.times))
 			t.Logf("%+v %.3f", got, got.share())
 			qt.Assert(t, got.share() >= test.inTime, qt.IsTrue, qt.Commentf("%+v", got))
 		})
@@ -298,9 +298,9 @@
 	for _, engines := range []int{10, 25, 100, 400, 2000, 8000} {
 		for _, waiting := range []int{0, 10, 100, 1000} {
 			b.Run(fmt.Sprintf("engines=%d/waiting=%d", engines, waiting), func(b *testing.B) {
-				l := newLoad(b, max(engines/5, 1), engines-max(engines/5, 1))
+				l := newSimulation(b, max(engines/5, 1), engines-max(engines/5, 1))
 				n := 0
-				ask := func(patient bool) placement.Ask {
+				request := func(patient bool) placement.Ask {
 					n++
 					return placement.Ask{
 						ID: fmt.Sprint(n), Owner: "n", Service: "llm", Budget: loadTarget, Hold: 3 * loadTarget,
@@ -308,23 +308,22 @@
 					}
 				}
 				for l.planner.Queued() < waiting && n < 20*engines+2*waiting {
-					l.planner.Apply(1000, ask(true))
+					l.planner.Apply(1000, request(true))
 				}
 				b.ReportMetric(float64(l.planner.Queued()), "queued")
 				for b.Loop() {
-					l.planner.Apply(1000, ask(false))
+					l.planner.Apply(1000, request(false))
 				}
 			})
 		}
 	}
 }
 
-// A look at all waiting requests happens each 10 ms, and whenever something comes
-// free.
+// The whole queue is checked every 10 ms and whenever capacity comes free.
 func BenchmarkWaiting(b *testing.B) {
 	for _, waiting := range []int{10, 100} {
 		b.Run(fmt.Sprint(waiting), func(b *testing.B) {
-			l := newLoad(b, 5, 20)
+			l := newSimulation(b, 5, 20)
 			for n := 0; l.planner.Queued() < waiting; n++ {
 				l.planner.Apply(1000, placement.Ask{
 					ID: fmt.Sprint(n), Owner: "n", Service: "llm", Budget: loadTarget, Hold: 3 * loadTarget,
--- a/internal/placement/message.go
+++ b/internal/placement/message.go
@@ -7,133 +7,133 @@
 	"github.com/trailshed/trailshed/internal/pace"
 )
 
-// Ask is an entry's wish for places for one request.
+// Ask is a gateway's request for engines for one attempt.
 type Ask struct {
-	ID      string        `cbor:"1,keyasint"` // of the attempt, unique among all entries
-	Owner   string        `cbor:"2,keyasint"` // name of the entry's instance
+	ID      string        `cbor:"1,keyasint"` // of the attempt, unique among all gateways
+	Owner   string        `cbor:"2,keyasint"` // name of the gateway's instance
 	Service string        `cbor:"3,keyasint"`
 	Prompt  int           `cbor:"4,keyasint"`  // tokens
-	Output  int           `cbor:"5,keyasint"`  // tokens that the caller expects; 0 if it does not say
-	Most    int           `cbor:"12,keyasint"` // tokens that the answer may have at most; 0 if unknown
-	Route   string        `cbor:"13,keyasint"` // whose answers have a usual length
-	Budget  time.Duration `cbor:"6,keyasint"`  // left until the first event is late
-	Exclude []string      `cbor:"7,keyasint"`  // endpoints that the entry will not use
-	Avoid   []string      `cbor:"10,keyasint"` // endpoints that it uses only if there are no others
+	Output  int           `cbor:"5,keyasint"`  // tokens of the answer that the caller expects; 0 if unknown
+	Most    int           `cbor:"12,keyasint"` // maximum tokens of the answer; 0 if unknown
+	Route   string        `cbor:"13,keyasint"` // route, by which lengths of answers are learned
+	Budget  time.Duration `cbor:"6,keyasint"`  // time left until the first event is late
+	Exclude []string      `cbor:"7,keyasint"`  // endpoints that must not be used
+	Avoid   []string      `cbor:"10,keyasint"` // endpoints that are used only if there are no others
 	Part    Part          `cbor:"8,keyasint"`
-	Patient bool          `cbor:"9,keyasint"`  // it waits for room if some comes free in time
-	Late    bool          `cbor:"11,keyasint"` // it cannot be in time any more
-	Hold    time.Duration `cbor:"14,keyasint"` // how long it may wait for room though it is late by then
-	Once    bool          `cbor:"15,keyasint"` // a failure of the decode engine would be final
-	Final   bool          `cbor:"16,keyasint"` // any failure would be
+	Patient bool          `cbor:"9,keyasint"`  // it may be queued until there is capacity
+	Late    bool          `cbor:"11,keyasint"` // its first event can no longer be in time
+	Hold    time.Duration `cbor:"14,keyasint"` // how long it may be queued, even past its deadline
+	Once    bool          `cbor:"15,keyasint"` // a failure of the decode engine cannot be retried
+	Final   bool          `cbor:"16,keyasint"` // no failure can be retried
 }
 
-// Part says which engines an ask is for.
+// Part says which engines a request needs.
 type Part int
 
-// The parts of a request.
+// The values of Part.
 const (
 	Both       Part = iota // a prefill and a decode engine
-	ReadOnly               // a prefill engine; another zone decodes
-	DecodeOnly             // a decode engine; the prompt is read elsewhere
-	Whole                  // a decode engine that also reads the prompt
+	ReadOnly               // a prefill engine only; another zone decodes
+	DecodeOnly             // a decode engine only; the prompt is prefilled elsewhere
+	Whole                  // a decode engine that also prefills the prompt
 )
 
-// Grant names the places of one request.
+// Grant names the engines assigned to one request.
 type Grant struct {
 	ID      string        `cbor:"1,keyasint"`
-	Prefill string        `cbor:"2,keyasint"` // id of the prefill engine; empty: the decode engine reads the prompt
+	Prefill string        `cbor:"2,keyasint"` // id of the prefill engine; empty: the decode engine prefills the prompt
 	Decode  string        `cbor:"3,keyasint"` // id of the decode engine
-	Wait    time.Duration `cbor:"4,keyasint"` // predicted until the prefill begins
-	Used    int           `cbor:"5,keyasint"` // tokens that the decode engine is estimated to hold
-	Read    time.Duration `cbor:"6,keyasint"` // predicted for the prefill itself
-	Begin   time.Duration `cbor:"7,keyasint"` // predicted from the send to the decode engine to the first event
-	Length  int           `cbor:"8,keyasint"` // tokens of the answer that are expected
-	// New are those of the engines that the planner learned of a moment ago, in case
-	// the entry does not know them yet.
+	Wait    time.Duration `cbor:"4,keyasint"` // predicted time until the prefill starts
+	Used    int           `cbor:"5,keyasint"` // estimated tokens of KV memory in use at the decode engine
+	Read    time.Duration `cbor:"6,keyasint"` // predicted time of the prefill
+	Begin   time.Duration `cbor:"7,keyasint"` // predicted time from sending to the decode engine to the first event
+	Length  int           `cbor:"8,keyasint"` // expected tokens of the answer
+	// New lists those of the engines that were added recently, in case the gateway does
+	// not know them yet.
 	New []directory.Endpoint `cbor:"9,keyasint,omitempty"`
 }
 
-// Refusal says that no place will be free in time.
+// Refusal says that there will be no capacity in time.
 type Refusal struct {
 	ID     string        `cbor:"1,keyasint"`
 	Reason string        `cbor:"2,keyasint"`
-	After  time.Duration `cbor:"3,keyasint"` // when to come back
+	After  time.Duration `cbor:"3,keyasint"` // after which the caller may retry
 }
 
-// Verdict is a planner's answer to an ask.
+// Verdict is a planner's answer to a request.
 type Verdict struct {
 	Grant   *Grant   `cbor:"1,keyasint,omitempty"`
 	Refusal *Refusal `cbor:"2,keyasint,omitempty"`
-	Queued  bool     `cbor:"3,keyasint,omitempty"` // the answer comes later
+	Queued  bool     `cbor:"3,keyasint,omitempty"` // the decision follows later
 }
 
 // The reasons of a refusal.
 const (
 	ReasonNoEndpoint = "no_decode_endpoint"
-	ReasonNoPrefill  = "no_prefill_endpoint" // though there is room to decode
-	ReasonLimited    = "endpoints_limited"   // the engines that could decode may get no more requests now
+	ReasonNoPrefill  = "no_prefill_endpoint" // although a decode engine has capacity
+	ReasonLimited    = "endpoints_limited"   // the engines that could decode are at their limits at the moment
 	ReasonFull       = "decode_memory_full"
 	ReasonBusy       = "prefill_busy"
 	ReasonMoved      = "planner_moved"
 	ReasonNoZone     = "no_zone_allowed"
 )
 
-// Release gives places back.
+// Release frees the allocation of an attempt.
 type Release struct {
 	ID     string `cbor:"1,keyasint"`
 	Owner  string `cbor:"2,keyasint"`
-	Full   string `cbor:"3,keyasint"` // engine that turned the request away, if any
+	Full   string `cbor:"3,keyasint"` // engine that turned the request away as full, if any
 	Failed string `cbor:"4,keyasint"` // engine that failed, if any
 	Seen   *Seen  `cbor:"5,keyasint,omitempty"`
 }
 
-// Seen is what an entry saw of an answer, from which planners learn how fast
-// engines are.
+// Seen holds a gateway's timings of an answer, from which planners learn the speed of
+// engines.
 type Seen struct {
-	Begin    time.Duration `cbor:"1,keyasint"` // from the send to the decode engine to the first event
+	Begin    time.Duration `cbor:"1,keyasint"` // from sending to the decode engine to the first event
 	Tokens   int           `cbor:"2,keyasint"` // of all events after the first
 	Decoding time.Duration `cbor:"3,keyasint"` // from the first event to the last
-	Ended    int           `cbor:"4,keyasint"` // tokens of the whole answer, once it has ended; else 0
+	Ended    int           `cbor:"4,keyasint"` // tokens of the whole answer if it is complete; else 0
 }
 
-// Progress tells that an engine has begun to answer, and what it said of its
-// load.
+// Progress says that an engine has started to answer, with the load that the answer
+// reports.
 type Progress struct {
 	ID      string `cbor:"1,keyasint"`
-	Running int    `cbor:"2,keyasint"` // requests running there, whoever sent them
-	Read    bool   `cbor:"3,keyasint"` // it is the prefill engine, which has read the prompt
-	// Took is how long the entry waited for that.
+	Running int    `cbor:"2,keyasint"` // requests running there, from all senders
+	Read    bool   `cbor:"3,keyasint"` // from the prefill engine, which has finished the prompt
+	// Took is how long the gateway waited for that answer.
 	Took time.Duration `cbor:"4,keyasint"`
 }
 
-// Loaded is an engine's load report, of all that it works on, from a moment ago.
+// Loaded is a recent report of an engine's total load.
 type Loaded struct {
 	Engine  string
 	Running int // requests
 	Waiting int // requests
-	Used    int // tokens of KV memory that cannot give way
+	Used    int // tokens of KV memory that cannot be evicted
 }
 
-// Closed says that an engine takes nothing until its stage has changed.
+// Closed says that an engine accepts no requests until its stage has changed.
 type Closed struct {
 	Engine string `cbor:"1,keyasint"`
 }
 
-// Hold is one request in an announcement.
+// Hold is one allocation in an announcement.
 type Hold struct {
 	ID      string        `cbor:"1,keyasint"`
 	Decode  string        `cbor:"2,keyasint"`
 	Prompt  int           `cbor:"3,keyasint"`
 	Length  int           `cbor:"4,keyasint"` // as in the grant
-	Running time.Duration `cbor:"5,keyasint"` // since it was granted
+	Running time.Duration `cbor:"5,keyasint"` // time since the grant
 }
 
-// Announce renews all places of one entry in a zone. Places that it leaves out
-// are free again.
+// Announce lists all allocations of one gateway in a zone and renews them. Allocations
+// that it omits are freed.
 type Announce struct {
 	Owner string `cbor:"1,keyasint"`
 	Zone  string `cbor:"2,keyasint"`
 	Holds []Hold `cbor:"3,keyasint"`
-	// Figures are what a planner has learned of engines, sent now and then.
+	// Figures are learned engine timings, included from time to time.
 	Figures []pace.Figure `cbor:"4,keyasint,omitempty"`
 }
--- a/internal/placement/new_test.go
+++ b/internal/placement/new_engines_test.go
@@ -10,25 +10,25 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// Where thirty of a hundred engines start anew at once, they are the emptiest, and
-// the planner, which watches the store, knows them up to a second before the entries
-// that ask it. Its grants say where they are, and no longer once all must know.
-func TestGrantsTellOfNewEngines(t *testing.T) {
+// When thirty of a hundred engines restart at once, they are the emptiest, and the
+// planner, which watches the store, knows them up to a second before the gateways do.
+// Grants include their addresses until all gateways must know them.
+func TestGrantsIncludeNewEngines(t *testing.T) {
 	later := clock.Millis(10_000)
 	tests := []struct {
-		name string
-		at   clock.Millis
-		told []string
+		name     string
+		at       clock.Millis
+		included []string
 	}{
-		{"a moment ago", later.Add(50 * time.Millisecond), []string{"d2"}},
-		{"long ago", later.Add(5 * time.Second), nil},
+		{"added recently", later.Add(50 * time.Millisecond), []string{"d2"}},
+		{"added long ago", later.Add(5 * time.Second), nil},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			p := planner(t, 1)
 			p.Apply(later, placement.Known{View: view(t, 2)})
-			a := ask("1")
+			a := request("1")
 			a.Exclude = []string{"d1"}
 			answers := p.Apply(test.at, a)
 			c.Assert(answers, qt.HasLen, 1)
@@ -39,7 +39,7 @@
 			for _, e := range g.New {
 				told = append(told, e.ID)
 			}
-			c.Assert(told, qt.DeepEquals, test.told)
+			c.Assert(told, qt.DeepEquals, test.included)
 		})
 	}
 }
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -1,8 +1,8 @@
-// Package placement gives out the KV memory of one zone's decode engines and
-// the time of its prefill engines. One planner sees a whole zone, so that no
-// memory is promised twice and no prompt is read before there is room for it:
-// a prompt read for nothing costs as much as an answer is worth. Decisions are
-// pure: Apply takes the time and an event and returns effects.
+// Package placement allocates the KV memory of one zone's decode engines and the time
+// of its prefill engines. A single planner covers the whole zone, so that memory is not
+// allocated twice and no prompt is prefilled before there is memory to decode it: a
+// wasted prefill costs as much as an answer is worth. Decisions are pure: Apply takes
+// the time and an event and returns the resulting answers.
 package placement
 
 import (
@@ -16,57 +16,63 @@
 )
 
 const (
-	// useMemory is the part of an engine's KV memory that is given out; blocks
-	// of 16 tokens and answers longer than expected take the rest.
-	useMemory = 0.97
-	// growth is the part of an expected answer that is estimated as memory
-	// from the start: requests at one engine are at different points.
-	growth = 0.5
-	// grantGrace is how long an announcement may still miss a new grant.
+	// usableMemoryFraction is the fraction of an engine's KV memory that is allocated.
+	// The rest is reserved for rounding up to blocks of 16 tokens and for answers
+	// longer than expected.
+	usableMemoryFraction = 0.97
+	// initialAnswerFraction is the fraction of an expected answer that counts as memory
+	// from the start: the requests at an engine are at different points of their
+	// answers.
+	initialAnswerFraction = 0.5
+	// grantGrace is how long an announcement may still omit a new grant.
 	grantGrace = 500 * time.Millisecond
-	// unsure is by which factor a wait for room may turn out shorter than
-	// predicted; requests that are smaller than those before them also pass them.
-	unsure = 2
-	// ownerExpiry is how long places outlive their owner's silence.
+	// waitUncertainty is the factor by which an actual wait for capacity may be shorter
+	// than predicted. Requests smaller than those queued before them also pass them.
+	waitUncertainty = 2
+	// ownerExpiry is how long allocations are kept without a message from their owner.
 	ownerExpiry = 2500 * time.Millisecond
-	// fullFor keeps requests from an engine that turned one away: its memory
-	// is fuller than estimated, and answers end several times a second.
-	fullFor = 250 * time.Millisecond
-	// closedSlack is how much longer than a change of stage takes an engine gets
-	// nothing, unless it says earlier that it has changed: what it runs ends first.
-	closedSlack = 2 * time.Second
-	// failedFor is how long an engine that failed a request gets nothing while
-	// others have room.
-	failedFor = time.Second
-	// foreignPart of a usual answer's time is how long an engine's load
-	// report is believed: by then about as much of it has ended.
-	foreignPart = 0.5
-	// foreignReads is the same for prefill engines, in usual prompts.
-	foreignReads = 3
-	// unseenPart of an engine's memory is what a request is taken for while none
-	// was seen: engines are bought to run some ten at a time.
-	unseenPart = 8
-	// newFor is how long an engine is told of with its grants: changes are in force
-	// everywhere within three seconds. Empty engines get the most requests, and where
-	// thirty came at once, a hundred requests were sent from grant to grant of engines
-	// that their entries did not know, and a third of those refused.
-	newFor = 4 * time.Second
-	// askMemory bounds how long an ended attempt is remembered, so that a late
-	// message does not take its place again.
-	askMemory = 5 * time.Second
-	// comeBackLeast and comeBackMost bound what refused callers are told.
-	comeBackLeast = 250 * time.Millisecond
-	comeBackMost  = 4 * time.Second
+	// fullBackoff is how long an engine that turned a request away as full gets no
+	// others. Its memory is fuller than estimated, and answers end several times a
+	// second.
+	fullBackoff = 250 * time.Millisecond
+	// stageChangeSlack is added to the duration of a stage change, during which an
+	// engine gets no requests unless its new stage shows earlier. The requests that it
+	// runs end first.
+	stageChangeSlack = 2 * time.Second
+	// failureBackoff is how long an engine that failed a request gets others only if no
+	// other engine has capacity.
+	failureBackoff = time.Second
+	// externalLoadAnswerFraction of the time of a typical answer is how long a decode
+	// engine's load report is used: by then about that fraction of the reported load
+	// has ended.
+	externalLoadAnswerFraction = 0.5
+	// externalLoadPrompts is the same for prefill engines, in typical prompts.
+	externalLoadPrompts = 3
+	// unknownPromptDivisor divides an engine's memory to get the assumed prompt length
+	// before any was observed: engines are sized to run about ten requests at a time.
+	unknownPromptDivisor = 8
+	// newEngineInterval is how long grants include the address of a new engine. Changes
+	// take up to three seconds to reach all gateways. Empty engines get the most
+	// requests, and when thirty were added at once, a hundred requests were passed from
+	// grant to grant with engines that their gateways did not know, and a third of them
+	// were refused.
+	newEngineInterval = 4 * time.Second
+	// endedAttemptRetention is how long an ended attempt is remembered, so that a
+	// delayed message does not allocate it again.
+	endedAttemptRetention = 5 * time.Second
+	// minRetryAfter and maxRetryAfter bound the retry delay in refusals.
+	minRetryAfter = 250 * time.Millisecond
+	maxRetryAfter = 4 * time.Second
 )
 
-// Event is what a planner learns: Ask, Progress, Loaded, Release, Closed,
-// Announce, Known and Tick.
+// Event is an input of a planner: Ask, Progress, Loaded, Release, Closed, Announce,
+// Known or Tick.
 type Event interface{ event() }
 
-// Known brings the present endpoints of the zone.
+// Known carries the current endpoints of the zone.
 type Known struct{ View *directory.View }
 
-// Tick lets time pass.
+// Tick lets the planner expire allocations and queued requests.
 type Tick struct{}
 
 func (Ask) event()      {}
@@ -78,78 +84,78 @@
 func (Known) event()    {}
 func (Tick) event()     {}
 
-// Answer is the effect of a decision: the answer to one entry.
+// Answer is an effect of Apply: a decision to send to one gateway.
 type Answer struct {
 	ID      string
 	Owner   string
 	Verdict Verdict
 }
 
-// Planner is the aggregate of one zone. It is not safe for concurrent use.
+// Planner plans one zone. It is not safe for concurrent use.
 type Planner struct {
-	zone     string
-	instance string // on which it runs
-	paces    *pace.Model
-	engines  map[string]*engine
-	views    int // that it has learned from
-	places   map[string]*place
-	owners   map[string]clock.Millis // when last heard
-	over     map[string]clock.Millis // attempts that ended
-	queue    []waiting
-	effects  []Answer
+	zone        string
+	instance    string // instance that it runs on
+	model       *pace.Model
+	engines     map[string]*engine
+	viewCount   int // views processed so far
+	allocations map[string]*allocation
+	ownerSeenAt map[string]clock.Millis // when each owner last sent a message
+	ended       map[string]clock.Millis // when each attempt ended
+	queue       []queuedRequest
+	answers     []Answer
 }
 
-// place is what one attempt holds.
-type place struct {
-	ask     Ask // of a place that a former planner gave: owner, id and prompt only
-	grant   Grant
-	granted clock.Millis
-	begins  clock.Millis  // predicted first event
-	step    time.Duration // predicted for one token
+// allocation is what one attempt holds.
+type allocation struct {
+	req          Ask // of an allocation adopted from a previous planner only owner, id, service and prompt are set
+	grant        Grant
+	grantedAt    clock.Millis
+	firstEventAt clock.Millis  // predicted
+	tokenTime    time.Duration // predicted time per token
 }
 
-// New returns the planner of a zone that runs on an instance. It learns how fast
-// engines are into paces and predicts by it.
+// New returns the planner of a zone that runs on an instance. It predicts engine
+// timings with the model paces, which it also updates.
 func New(zone, instance string, paces *pace.Model) *Planner {
 	return &Planner{
-		zone: zone, instance: instance, paces: paces, engines: map[string]*engine{}, places: map[string]*place{},
-		owners: map[string]clock.Millis{}, over: map[string]clock.Millis{},
+		zone: zone, instance: instance, model: paces, engines: map[string]*engine{}, allocations: map[string]*allocation{},
+		ownerSeenAt: map[string]clock.Millis{}, ended: map[string]clock.Millis{},
 	}
 }
 
-// Apply takes one event at a moment and returns the answers it brings about.
+// Apply processes one event and returns the resulting answers.
 func (p *Planner) Apply(now clock.Millis, e Event) []Answer {
-	p.effects = nil
+	p.answers = nil
 	switch e := e.(type) {
 	case Ask:
-		p.ask(now, e)
+		p.handleRequest(now, e)
 	case Progress:
-		p.progress(now, e)
+		p.handleProgress(now, e)
 	case Loaded:
-		p.loaded(now, e)
+		p.handleLoadReport(now, e)
 	case Release:
-		p.release(now, e)
+		p.handleRelease(now, e)
 	case Closed:
 		if engine := p.engines[e.Engine]; engine != nil {
-			engine.full = now.Add(engine.switchTime + closedSlack)
+			engine.blockedUntil = now.Add(engine.switchTime + stageChangeSlack)
 		}
 	case Announce:
-		p.announce(now, e)
+		p.handleAnnouncement(now, e)
 	case Known:
-		p.learn(now, e.View)
+		p.updateEngines(now, e.View)
 	case Tick:
 		p.expire(now)
 	}
-	if mayMakeRoom(e) {
+	if mayFreeCapacity(e) {
 		p.serveQueue(now)
 	}
-	return p.effects
+	return p.answers
 }
 
-// mayMakeRoom says whether what waits is to be looked at after an event. Asks and
-// first events take room; they are half of all events, and a look at 100 waiting
-// requests takes as long as 50 asks.
-func mayMakeRoom(e Event) bool {
+// mayFreeCapacity reports whether the queue has to be checked after an event. Requests
+// and first events only take capacity. They are half of all events, and checking 100
+// queued requests takes as long as handling 50 new ones.
+func mayFreeCapacity(e Event) bool {
 	switch e := e.(type) {
 	case Ask:
 		return false
@@ -160,44 +166,45 @@
 	}
 }
 
-func (p *Planner) learn(now clock.Millis, v *directory.View) {
+func (p *Planner) updateEngines(now clock.Millis, v *directory.View) {
 	if v.Table == nil {
 		return
 	}
-	p.views++
+	p.viewCount++
 	for e, data := range v.Engines(p.zone) {
 		known := p.engines[e.ID]
 		if known == nil {
-			known = &engine{joined: now, turn: xxhash.Sum64String(p.instance + "\x00" + e.ID)}
+			known = &engine{addedAt: now, tieBreak: xxhash.Sum64String(p.instance + "\x00" + e.ID)}
 			p.engines[e.ID] = known
 		}
 		if known.Stage != e.Stage {
-			known.full = 0 // it has changed its stage and takes work again
+			known.blockedUntil = 0 // the stage change is complete
 		}
-		known.Endpoint, known.seen = *e, p.views
-		known.capacity = int(useMemory * float64(data.KVTokens))
+		known.Endpoint, known.lastView = *e, p.viewCount
+		known.capacity = int(usableMemoryFraction * float64(data.KVTokens))
 		known.slots = data.Slots
 		known.switchTime = data.Switch()
 	}
 	for id, e := range p.engines {
-		if e.seen != p.views {
+		if e.lastView != p.viewCount {
 			delete(p.engines, id)
 		}
 	}
-	// The model also knows engines of other zones, which entries learn of.
-	p.paces.Forget(func(engine string) bool { return v.Find(engine) != nil })
+	// The model also holds engines of other zones, learned from gateways.
+	p.model.Forget(func(engine string) bool { return v.Find(engine) != nil })
 }
 
-// endsIn predicts how long the answer still takes. One that is longer than
-// predicted is probably long, and goes on for a part of what it took so far.
-func (h *place) endsIn(now clock.Millis) time.Duration {
-	left := h.begins.Add(time.Duration(h.grant.Length) * h.step).Sub(now)
-	return max(left, time.Duration(longPart*float64(now.Sub(h.begins))))
+// remaining predicts how much longer the answer takes. One that has exceeded its
+// predicted length is probably a long one, and is assumed to continue for
+// overrunFraction of the time it took so far.
+func (a *allocation) remaining(now clock.Millis) time.Duration {
+	left := a.firstEventAt.Add(time.Duration(a.grant.Length) * a.tokenTime).Sub(now)
+	return max(left, time.Duration(overrunFraction*float64(now.Sub(a.firstEventAt))))
 }
 
-// longPart is that part: lengths vary about as much as an exponential
-// distribution, cut at a few times its mean.
-const longPart = 0.3
+// overrunFraction fits lengths that vary about as much as an exponential distribution,
+// truncated at a few times its mean.
+const overrunFraction = 0.3
 
-// size is what an answer is estimated to hold from the start, in tokens.
-func (h *place) size() int { return h.ask.Prompt + fromStart(h.grant.Length) }
+// tokens is the estimated KV memory of the request from its start.
+func (a *allocation) tokens() int { return a.req.Prompt + initialTokens(a.grant.Length) }
--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -17,7 +17,7 @@
 
 const capacity = 20_000
 
-// paces knows the usual sizes of requests, as if some had been seen.
+// paces returns a model with typical request sizes, as if some had been observed.
 func paces() *pace.Model {
 	m := pace.New(figures)
 	m.Tell("test", []pace.Figure{
@@ -27,7 +27,7 @@
 	return m
 }
 
-// figures of the engines that these tests estimate with.
+// figures are the prior timings of the engines in these tests.
 var figures = pace.Prior{
 	ReadSetup: 10 * time.Millisecond, ReadToken: 18 * time.Microsecond, Begin: 70 * time.Millisecond,
 	WholeToken: 36 * time.Microsecond, Step: 4500 * time.Microsecond, LengthPart: 0.42,
@@ -35,7 +35,7 @@
 
 func view(t interface{ Fatal(...any) }, decodes int) *directory.View { return viewOf(t, 1, decodes) }
 
-// viewOf is a zone of so many prefill engines, from p1 on, and decode engines, from d1 on.
+// viewOf returns a zone with prefill engines p1, p2, ... and decode engines d1, d2, ...
 func viewOf(t interface{ Fatal(...any) }, prefills, decodes int) *directory.View {
 	table, err := route.NewTable(route.Document{Version: 1, Services: []route.Service{
 		{Name: "llm", Engine: &route.Engine{Slots: 8, KVTokens: capacity}},
@@ -62,11 +62,11 @@
 	return p
 }
 
-func ask(id string) placement.Ask {
+func request(id string) placement.Ask {
 	return placement.Ask{ID: id, Owner: "n1", Service: "llm", Prompt: 5000, Output: 800, Budget: 900 * time.Millisecond}
 }
 
-func verdict(answers []placement.Answer, id string) placement.Verdict {
+func decision(answers []placement.Answer, id string) placement.Verdict {
 	for _, a := range answers {
 		if a.ID == id {
 			return a.Verdict
@@ -75,53 +75,53 @@
 	return placement.Verdict{}
 }
 
-// Requests spread over the engines, and what does not fit is refused at once
-// with a time to come back, or waits if it may.
-func TestMemoryIsGivenOutOnce(t *testing.T) {
+// Requests spread over the engines, and one that does not fit is refused at once with a
+// retry delay, or queued if it allows that.
+func TestMemoryIsAllocatedOnce(t *testing.T) {
 	c := qt.New(t)
 	p := planner(t, 2)
 	granted := map[string]int{}
 	for i := range 6 {
-		v := verdict(p.Apply(1000, ask(fmt.Sprint(i))), fmt.Sprint(i))
+		v := decision(p.Apply(1000, request(fmt.Sprint(i))), fmt.Sprint(i))
 		c.Assert(v.Grant, qt.IsNotNil)
 		c.Assert(v.Grant.Prefill, qt.Equals, "p1")
 		granted[v.Grant.Decode]++
 	}
 	c.Assert(granted, qt.DeepEquals, map[string]int{"d1": 3, "d2": 3})
-	v := verdict(p.Apply(1000, ask("more")), "more")
+	v := decision(p.Apply(1000, request("more")), "more")
 	c.Assert(v.Refusal, qt.IsNotNil)
 	c.Assert(v.Refusal.Reason, qt.Equals, placement.ReasonFull)
 	c.Assert(v.Refusal.After > 0, qt.IsTrue)
-	// Near the predicted end of an answer it is worth waiting.
-	patient := ask("patient")
+	// Near the predicted end of an answer, queueing is worthwhile.
+	patient := request("patient")
 	patient.Patient = true
-	c.Assert(verdict(p.Apply(4700, patient), "patient").Queued, qt.IsTrue)
-	got := verdict(p.Apply(4750, placement.Release{ID: "0", Owner: "n1"}), "patient")
+	c.Assert(decision(p.Apply(4700, patient), "patient").Queued, qt.IsTrue)
+	got := decision(p.Apply(4750, placement.Release{ID: "0", Owner: "n1"}), "patient")
 	c.Assert(got.Grant, qt.IsNotNil)
 }
 
-func TestWaitingEndsInARefusal(t *testing.T) {
+func TestQueuedRequestsAreRefused(t *testing.T) {
 	c := qt.New(t)
 	p := planner(t, 1)
 	for i := range 3 {
-		p.Apply(1000, ask(fmt.Sprint(i)))
+		p.Apply(1000, request(fmt.Sprint(i)))
 	}
-	patient := ask("patient")
+	patient := request("patient")
 	patient.Patient = true
-	c.Assert(verdict(p.Apply(4700, patient), "patient").Queued, qt.IsTrue)
+	c.Assert(decision(p.Apply(4700, patient), "patient").Queued, qt.IsTrue)
 	got := placement.Verdict{}
 	for now := clock.Millis(4700); now < 5700 && got.Refusal == nil; now += 10 {
-		got = verdict(p.Apply(now, placement.Tick{}), "patient")
+		got = decision(p.Apply(now, placement.Tick{}), "patient")
 	}
 	c.Assert(got.Refusal, qt.IsNotNil)
 	c.Assert(p.Queued(), qt.Equals, 0)
 }
 
-func TestEnginesThatFail(t *testing.T) {
+func TestFailedEngines(t *testing.T) {
 	tests := []struct {
 		name    string
 		release placement.Release
-		want    string // the decode engine of the next request; empty: refused
+		want    string // decode engine of the next request; empty: refused
 	}{
 		{"failed, the other is used", placement.Release{ID: "0", Owner: "n1", Failed: "d1"}, "d2"},
 		{"full, the other is used", placement.Release{ID: "0", Owner: "n1", Full: "d1"}, "d2"},
@@ -129,27 +129,27 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			p := planner(t, 2)
-			qt.Assert(t, verdict(p.Apply(1000, ask("0")), "0").Grant.Decode, qt.Equals, "d1")
+			qt.Assert(t, decision(p.Apply(1000, request("0")), "0").Grant.Decode, qt.Equals, "d1")
 			p.Apply(1001, test.release)
-			qt.Assert(t, verdict(p.Apply(1002, ask("1")), "1").Grant.Decode, qt.Equals, test.want)
+			qt.Assert(t, decision(p.Apply(1002, request("1")), "1").Grant.Decode, qt.Equals, test.want)
 		})
 	}
-	t.Run("all failed, one is used all the same", func(t *testing.T) {
+	t.Run("all failed, one is used anyway", func(t *testing.T) {
 		p := planner(t, 1)
-		p.Apply(1000, ask("0"))
+		p.Apply(1000, request("0"))
 		p.Apply(1001, placement.Release{ID: "0", Owner: "n1", Failed: "d1"})
-		qt.Assert(t, verdict(p.Apply(1002, ask("1")), "1").Grant, qt.IsNotNil)
+		qt.Assert(t, decision(p.Apply(1002, request("1")), "1").Grant, qt.IsNotNil)
 	})
 	t.Run("no engine at all", func(t *testing.T) {
 		p := planner(t, 0)
-		v := verdict(p.Apply(1000, ask("0")), "0")
+		v := decision(p.Apply(1000, request("0")), "0")
 		qt.Assert(t, v.Refusal.Reason, qt.Equals, placement.ReasonNoEndpoint)
 	})
 }
 
-// A new planner learns from announcements what a former one gave away; an
-// owner that falls silent loses its places.
-func TestPlacesFollowTheirOwners(t *testing.T) {
+// A new planner learns the allocations of the previous one from announcements; an owner
+// that sends nothing loses its allocations.
+func TestAllocationsFollowAnnouncements(t *testing.T) {
 	c := qt.New(t)
 	p := planner(t, 1)
 	var holds []placement.Hold
@@ -157,78 +157,78 @@
 		holds = append(holds, placement.Hold{ID: fmt.Sprint("old", i), Decode: "d1", Prompt: 5000, Length: 800})
 	}
 	p.Apply(1000, placement.Announce{Owner: "n1", Zone: "a", Holds: holds})
-	other := ask("x")
+	other := request("x")
 	other.Owner = "n2"
-	c.Assert(verdict(p.Apply(1001, other), "x").Refusal, qt.IsNotNil)
+	c.Assert(decision(p.Apply(1001, other), "x").Refusal, qt.IsNotNil)
 	p.Apply(2000, placement.Announce{Owner: "n1", Zone: "a", Holds: holds[:2]})
 	other.ID = "y"
-	c.Assert(verdict(p.Apply(2001, other), "y").Grant, qt.IsNotNil)
+	c.Assert(decision(p.Apply(2001, other), "y").Grant, qt.IsNotNil)
 	p.Apply(9000, placement.Tick{})
 	for i := range 3 {
 		other.ID = fmt.Sprint("z", i)
-		c.Assert(verdict(p.Apply(9001, other), other.ID).Grant, qt.IsNotNil)
+		c.Assert(decision(p.Apply(9001, other), other.ID).Grant, qt.IsNotNil)
 	}
 }
 
-// Another planner may give out the same engine while instances are cut off
-// from each other; the engine's load report shows it.
-func TestForeignLoadCounts(t *testing.T) {
+// Another planner may assign the same engine while instances are partitioned; the
+// engine's load report shows it.
+func TestExternalLoadCounts(t *testing.T) {
 	c := qt.New(t)
 	p := planner(t, 1)
-	c.Assert(verdict(p.Apply(1000, ask("0")), "0").Grant, qt.IsNotNil)
+	c.Assert(decision(p.Apply(1000, request("0")), "0").Grant, qt.IsNotNil)
 	p.Apply(1200, placement.Progress{ID: "0", Running: 3})
-	c.Assert(verdict(p.Apply(1201, ask("1")), "1").Refusal, qt.IsNotNil)
-	// The report is old by now.
-	c.Assert(verdict(p.Apply(3000, ask("2")), "2").Grant, qt.IsNotNil)
+	c.Assert(decision(p.Apply(1201, request("1")), "1").Refusal, qt.IsNotNil)
+	// The report has expired by now.
+	c.Assert(decision(p.Apply(3000, request("2")), "2").Grant, qt.IsNotNil)
 }
 
-// A message that was overtaken must not take places again.
-func TestLateMessagesTakeNothing(t *testing.T) {
+// A message that arrives out of order must not allocate an ended attempt again.
+func TestReorderedMessages(t *testing.T) {
 	c := qt.New(t)
 	p := planner(t, 1)
-	p.Apply(1000, placement.Release{ID: "0", Owner: "n1"}) // withdrawn before the ask came
-	c.Assert(verdict(p.Apply(1001, ask("0")), "0").Refusal.Reason, qt.Equals, placement.ReasonMoved)
+	p.Apply(1000, placement.Release{ID: "0", Owner: "n1"}) // released before the request arrived
+	c.Assert(decision(p.Apply(1001, request("0")), "0").Refusal.Reason, qt.Equals, placement.ReasonMoved)
 	p.Apply(1002, placement.Announce{Owner: "n1", Holds: []placement.Hold{{ID: "0", Decode: "d1", Prompt: 15_000, Length: 10}}})
-	c.Assert(verdict(p.Apply(1003, ask("1")), "1").Grant, qt.IsNotNil)
+	c.Assert(decision(p.Apply(1003, request("1")), "1").Grant, qt.IsNotNil)
 }
 
-// Prefill engines are given out too: what they were given delays the next
-// prompt, and a zone without any says so, though it could decode.
+// Prefill engines are allocated too: their assigned prompts delay the next one, and a
+// zone without prefill engines says so in the refusal, although it could decode.
 func TestPrefillEngines(t *testing.T) {
 	c := qt.New(t)
 	p := planner(t, 4)
 	var last time.Duration
 	for i := range 6 {
-		v := verdict(p.Apply(1000, ask(fmt.Sprint(i))), fmt.Sprint(i))
+		v := decision(p.Apply(1000, request(fmt.Sprint(i))), fmt.Sprint(i))
 		c.Assert(v.Grant, qt.IsNotNil)
 		c.Assert(v.Grant.Wait > last || i == 0, qt.IsTrue)
 		last = v.Grant.Wait
 	}
-	late := ask("late")
-	late.Budget = 200 * time.Millisecond // less than a decode engine takes for the prompt
-	c.Assert(verdict(p.Apply(1000, late), "late").Refusal.Reason, qt.Equals, placement.ReasonBusy)
+	late := request("late")
+	late.Budget = 200 * time.Millisecond // less than a decode engine needs to prefill the prompt
+	c.Assert(decision(p.Apply(1000, late), "late").Refusal.Reason, qt.Equals, placement.ReasonBusy)
 	for i := range 6 {
 		p.Apply(1100, placement.Progress{ID: fmt.Sprint(i), Read: true, Running: 1})
 	}
 	late.ID = "in time"
-	c.Assert(verdict(p.Apply(1101, late), "in time").Grant, qt.IsNotNil)
-	without := ask("x")
+	c.Assert(decision(p.Apply(1101, late), "in time").Grant, qt.IsNotNil)
+	without := request("x")
 	without.Exclude = []string{"p1"}
-	c.Assert(verdict(p.Apply(1102, without), "x").Refusal.Reason, qt.Equals, placement.ReasonNoPrefill)
+	c.Assert(decision(p.Apply(1102, without), "x").Refusal.Reason, qt.Equals, placement.ReasonNoPrefill)
 	without.ID, without.Part = "y", placement.DecodeOnly
-	c.Assert(verdict(p.Apply(1103, without), "y").Grant.Prefill, qt.Equals, "")
-	reading := ask("z")
+	c.Assert(decision(p.Apply(1103, without), "y").Grant.Prefill, qt.Equals, "")
+	reading := request("z")
 	reading.Part = placement.ReadOnly
-	c.Assert(verdict(p.Apply(1104, reading), "z").Grant.Decode, qt.Equals, "")
+	c.Assert(decision(p.Apply(1104, reading), "z").Grant.Decode, qt.Equals, "")
 }
 
-// Whatever entries do, no engine's memory is promised beyond its size unless
-// it is by announcements, and every ask gets exactly one final verdict.
-func TestRandomEntries(t *testing.T) {
+// Whatever gateways do, allocations never exceed an engine's memory except through
+// announcements, and every request gets exactly one final decision.
+func TestRandomRequests(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		p := planner(rt, 2)
 		now, next := clock.Millis(1000), 0
-		held := map[string]string{} // id: decode
+		held := map[string]string{} // decode engine by attempt
 		final := map[string]int{}
 		take := func(answers []placement.Answer) {
 			for _, a := range answers {
@@ -245,7 +245,7 @@
 			now += clock.Millis(rapid.IntRange(0, 300).Draw(rt, "time"))
 			switch rapid.IntRange(0, 2).Draw(rt, "event") {
 			case 0:
-				a := ask(fmt.Sprint(next))
+				a := request(fmt.Sprint(next))
 				next++
 				a.Patient = rapid.Bool().Draw(rt, "patient")
 				take(p.Apply(now, a))
@@ -275,22 +275,22 @@
 		take(p.Apply(now+5000, placement.Tick{}))
 		for id, n := range final {
 			if n != 1 {
-				rt.Fatalf("ask %s got %d final verdicts", id, n)
+				rt.Fatalf("request %s got %d final decisions", id, n)
 			}
 		}
 	})
 }
 
-// A planner that has just started asks engines what those who are gone left
-// there; without that, prompts were read for engines without room, and waited
-// behind others (grown unions, trouble-1, after all instances lost power).
-func TestLeftBehind(t *testing.T) {
+// A planner that has just started reads the load of engines, on which instances that
+// have gone may have left work. Without that, after all instances lost power, prompts
+// were prefilled for decode engines without memory, and queued behind others.
+func TestLeftoverLoad(t *testing.T) {
 	tests := []struct {
 		name    string
 		loaded  placement.Loaded
 		after   time.Duration
 		part    placement.Part
-		prefill string // where the next request goes
+		prefill string // engines of the next request
 		decode  string
 		refused string
 	}{
@@ -298,23 +298,23 @@
 		{"memory in one decode engine", placement.Loaded{Engine: "d1", Used: 18_000}, 0, placement.Both, "p1", "d2", ""},
 		{"memory, which is free again", placement.Loaded{Engine: "d1", Used: 18_000}, 2 * time.Second, placement.Both, "p1", "d1", ""},
 		{"work at the prefill engine", placement.Loaded{Engine: "p1", Running: 1, Waiting: 12}, 0, placement.ReadOnly, "", "", placement.ReasonBusy},
-		{"work, and a decode engine may read", placement.Loaded{Engine: "p1", Running: 1, Waiting: 12}, 0, placement.Both, "", "d1", ""},
+		{"work, and a decode engine may prefill", placement.Loaded{Engine: "p1", Running: 1, Waiting: 12}, 0, placement.Both, "", "d1", ""},
 		{"work, half of which is done", placement.Loaded{Engine: "p1", Running: 1, Waiting: 12}, 800 * time.Millisecond, placement.Both, "p1", "d1", ""},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			p := planner(t, 2)
-			if test.decode == "d1" { // of equals, the one with less left
+			if test.decode == "d1" { // of equal engines, the one with less load is used
 				p.Apply(1000, placement.Loaded{Engine: "d2", Used: 1})
 			}
 			p.Apply(1000, test.loaded)
-			if test.after > foreignGone {
+			if test.after > leftoverExpired {
 				p.Apply(clock.Millis(1000).Add(test.after), placement.Loaded{Engine: "d2", Used: 1})
 			}
-			a := ask("r")
+			a := request("r")
 			a.Part = test.part
-			v := verdict(p.Apply(clock.Millis(1000).Add(test.after), a), "r")
+			v := decision(p.Apply(clock.Millis(1000).Add(test.after), a), "r")
 			if test.refused != "" {
 				c.Assert(v.Refusal.Reason, qt.Equals, test.refused)
 				return
@@ -325,15 +325,15 @@
 	}
 }
 
-// foreignGone is longer than memory that others left is believed to last.
-const foreignGone = 1500 * time.Millisecond
+// leftoverExpired is longer than the leftover memory in a load report counts.
+const leftoverExpired = 1500 * time.Millisecond
 
-// A request waits for memory as long as it can still be in time, also where most
-// slots are taken: to be refused and come back takes longer.
-func TestWaitsAsLongAsItCanBeInTime(t *testing.T) {
+// A request stays queued for memory as long as it can be in time, even if most slots
+// are taken: a refusal and a retry would take longer.
+func TestQueuedUntilDeadline(t *testing.T) {
 	tests := []struct {
 		name   string
-		prompt int // of those that run
+		prompt int // of the running requests
 		run    int
 	}{
 		{"three of eight slots", 5000, 3},
@@ -344,24 +344,24 @@
 			c := qt.New(t)
 			p := planner(t, 1)
 			for i := range test.run {
-				a := ask(fmt.Sprint(i))
+				a := request(fmt.Sprint(i))
 				a.Prompt = test.prompt
-				c.Assert(verdict(p.Apply(1000, a), a.ID).Grant, qt.IsNotNil)
+				c.Assert(decision(p.Apply(1000, a), a.ID).Grant, qt.IsNotNil)
 			}
-			p.Apply(4300, placement.Announce{Owner: "n1", Holds: holds(test.run)})
-			late := ask("late") // room is predicted for 4800
+			p.Apply(4300, placement.Announce{Owner: "n1", Holds: runningHolds(test.run)})
+			late := request("late") // memory is predicted to be free at 4800
 			late.Patient = true
-			c.Assert(verdict(p.Apply(4300, late), "late").Queued, qt.IsTrue)
-			c.Assert(verdict(p.Apply(4600, placement.Tick{}), "late").Refusal, qt.IsNil)
+			c.Assert(decision(p.Apply(4300, late), "late").Queued, qt.IsTrue)
+			c.Assert(decision(p.Apply(4600, placement.Tick{}), "late").Refusal, qt.IsNil)
 			answers := p.Apply(4650, placement.Release{ID: "1", Owner: "n1"})
 			answers = append(answers, p.Apply(4700, placement.Release{ID: "0", Owner: "n1"})...)
-			c.Assert(verdict(answers, "late").Grant, qt.IsNotNil)
+			c.Assert(decision(answers, "late").Grant, qt.IsNotNil)
 		})
 	}
 }
 
-// holds says that the first so many requests of a test still run.
-func holds(n int) []placement.Hold {
+// runningHolds lists the first n requests of a test as still running.
+func runningHolds(n int) []placement.Hold {
 	var list []placement.Hold
 	for i := range n {
 		list = append(list, placement.Hold{ID: fmt.Sprint(i), Decode: "d1"})
--- a/internal/placement/predict.go
+++ b/internal/placement/predict.go
@@ -7,85 +7,88 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-func (p *Planner) readTime(service, engine string, prompt int) time.Duration {
-	return p.paces.Likely(pace.Read, service, engine, prompt)
+func (p *Planner) prefillTime(service, engine string, prompt int) time.Duration {
+	return p.model.Likely(pace.Read, service, engine, prompt)
 }
 
-// turnTime is how long a prompt keeps a prefill engine from the next one.
-func (p *Planner) turnTime(service, engine string, prompt int) time.Duration {
-	return p.paces.Likely(pace.Turn, service, engine, prompt)
+// prefillInterval predicts how long a prompt delays the next one at a prefill engine.
+func (p *Planner) prefillInterval(service, engine string, prompt int) time.Duration {
+	return p.model.Likely(pace.Turn, service, engine, prompt)
 }
 
-// beginTime is how long a decode engine takes to its first event, if another one
-// reads the prompt of a request for both.
-func (p *Planner) beginTime(a Ask, engine string) time.Duration {
-	return p.paces.Likely(decodeAct(a.Part, true), a.Service, engine, a.Prompt)
+// decodeStartTime predicts a decode engine's time to the first event, provided that a
+// request for both stages is prefilled by another engine.
+func (p *Planner) decodeStartTime(req Ask, engine string) time.Duration {
+	return p.model.Likely(firstEventQuantity(req.Part, true), req.Service, engine, req.Prompt)
 }
 
-// least is the shortest time from a place to the first event.
-func (p *Planner) least(a Ask) time.Duration {
-	if a.Part == ReadOnly || a.Part == Both {
-		return p.readTime(a.Service, pace.AnyEngine, a.Prompt) + p.beginTime(a, pace.AnyEngine)
+// minTimeToFirstEvent predicts the time from a grant to the first event without
+// queueing.
+func (p *Planner) minTimeToFirstEvent(req Ask) time.Duration {
+	if req.Part == ReadOnly || req.Part == Both {
+		return p.prefillTime(req.Service, pace.AnyEngine, req.Prompt) + p.decodeStartTime(req, pace.AnyEngine)
 	}
-	return p.beginTime(a, pace.AnyEngine)
+	return p.decodeStartTime(req, pace.AnyEngine)
 }
 
-func (p *Planner) length(a Ask) int {
-	return p.paces.Length(a.Service, a.Route, a.Output, a.Most).Mean
+func (p *Planner) answerTokens(req Ask) int {
+	return p.model.Length(req.Service, req.Route, req.Output, req.Most).Mean
 }
 
-// need is the memory that an answer takes from the start, in tokens.
-func (p *Planner) need(a Ask) int { return a.Prompt + fromStart(p.length(a)) }
+// neededTokens is the KV memory that a request counts for from its start.
+func (p *Planner) neededTokens(req Ask) int { return req.Prompt + initialTokens(p.answerTokens(req)) }
 
-// usualSize is the memory of a request that this planner knows nothing of.
-func (p *Planner) usualSize(e *engine) int {
-	return p.usual(pace.Prompt, e) + p.usual(pace.Answer, e)
+// typicalTokens is the assumed KV memory of a request of another planner.
+func (p *Planner) typicalTokens(e *engine) int {
+	return p.typicalLength(pace.Prompt, e) + p.typicalLength(pace.Answer, e)
 }
 
-func (p *Planner) usual(act pace.Act, e *engine) int {
-	if tokens, known := p.paces.Usual(act, e.Service); known {
+func (p *Planner) typicalLength(quantity pace.Act, e *engine) int {
+	if tokens, known := p.model.Usual(quantity, e.Service); known {
 		return tokens
 	}
-	if act == pace.Prompt {
-		return e.capacity / unseenPart
+	if quantity == pace.Prompt {
+		return e.capacity / unknownPromptDivisor
 	}
 	return 0
 }
 
-// usualTurn is the time of a prompt that this planner knows nothing of.
-func (p *Planner) usualTurn(e *engine) time.Duration {
-	return p.turnTime(e.Service, e.ID, p.usual(pace.Prompt, e))
+// typicalPrefillInterval is the assumed prefill interval of a prompt of another
+// planner.
+func (p *Planner) typicalPrefillInterval(e *engine) time.Duration {
+	return p.prefillInterval(e.Service, e.ID, p.typicalLength(pace.Prompt, e))
 }
 
-// foreignFor is how long an engine's load report is believed.
-func (p *Planner) foreignFor(e *engine) time.Duration {
-	answer := time.Duration(p.usual(pace.Answer, e)) * p.paces.Step(e.Service, e.ID, len(e.places))
-	return max(time.Duration(foreignPart*float64(answer)), foreignLeast)
+// externalLoadLifetime is how long a decode engine's load report is used.
+func (p *Planner) externalLoadLifetime(e *engine) time.Duration {
+	answer := time.Duration(p.typicalLength(pace.Answer, e)) * p.model.Step(e.Service, e.ID, len(e.allocations))
+	return max(time.Duration(externalLoadAnswerFraction*float64(answer)), minExternalLoadLifetime)
 }
 
-// foreignLeast bounds foreignFor from below while no answer has ended yet; some
-// engines' reports are a second old when they come.
-const foreignLeast = time.Second
+// minExternalLoadLifetime is the lower bound of externalLoadLifetime while no answer
+// has ended yet; reports of some engines are already a second old on arrival.
+const minExternalLoadLifetime = time.Second
 
-// Learn takes what an entry saw of an answer; running is how many requests the
-// decode engine ran then, as far as is known.
-func Learn(m *pace.Model, now clock.Millis, a Ask, g Grant, running int, s Seen) {
-	learn := func(act pace.Act, engine string, size, outcome float64) {
-		m.Learn(now, pace.Observation{Service: a.Service, Engine: engine, Act: act, Size: size, Outcome: outcome})
+// Learn updates the model from a gateway's timings of an answer. running is the number
+// of requests that the decode engine ran at the time, as far as known.
+func Learn(m *pace.Model, now clock.Millis, req Ask, g Grant, running int, s Seen) {
+	learn := func(quantity pace.Act, engine string, size, outcome float64) {
+		m.Learn(now, pace.Observation{Service: req.Service, Engine: engine, Act: quantity, Size: size, Outcome: outcome})
 	}
-	learn(decodeAct(a.Part, g.Prefill != ""), g.Decode, float64(a.Prompt), clock.InMillis(s.Begin))
-	if s.Tokens >= tokensLeast {
+	learn(firstEventQuantity(req.Part, g.Prefill != ""), g.Decode, float64(req.Prompt), clock.InMillis(s.Begin))
+	if s.Tokens >= minTimedTokens {
 		learn(pace.Step, g.Decode, float64(running), clock.InMillis(s.Decoding)/float64(s.Tokens))
 	}
 	if s.Ended == 0 {
 		return
 	}
-	learn(pace.Answer, a.Route, 0, float64(s.Ended))
-	learn(pace.Prompt, a.Route, 0, float64(a.Prompt))
-	if a.Output > 0 {
-		learn(pace.Length, a.Route, float64(a.Output), float64(s.Ended))
+	learn(pace.Answer, req.Route, 0, float64(s.Ended))
+	learn(pace.Prompt, req.Route, 0, float64(req.Prompt))
+	if req.Output > 0 {
+		learn(pace.Length, req.Route, float64(req.Output), float64(s.Ended))
 	}
 }
 
-// tokensLeast is how many tokens tell their time: events come in bunches.
-const tokensLeast = 32
+// minTimedTokens is the minimum length from which a time per token is learned: events
+// arrive in bursts.
+const minTimedTokens = 32
--- a/internal/placement/queue.go
+++ b/internal/placement/queue.go
@@ -6,95 +6,98 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// waiting is a request that waits for room.
-type waiting struct {
-	ask   Ask
-	need  int          // tokens of memory, as predicted when it came
-	until clock.Millis // it can be in time if it gets its place by then
-	end   clock.Millis // it is refused then
+// queuedRequest is a request that waits for capacity.
+type queuedRequest struct {
+	req          Ask
+	neededTokens int          // of KV memory, as predicted on arrival
+	deadline     clock.Millis // it can be in time if it is granted before that
+	refuseAt     clock.Millis // it is refused then
 }
 
-// late says whether the request cannot be in time any more.
-func (w waiting) late(now clock.Millis) bool { return w.ask.Late || now >= w.until }
+// late reports whether the request can no longer be in time.
+func (q queuedRequest) late(now clock.Millis) bool { return q.req.Late || now >= q.deadline }
 
-// Idle says whether there is nothing that time could change.
-func (p *Planner) Idle() bool { return len(p.queue)+len(p.places)+len(p.over) == 0 }
+// Idle reports whether the planner has no state that depends on time.
+func (p *Planner) Idle() bool { return len(p.queue)+len(p.allocations)+len(p.ended) == 0 }
 
-// Queued is the number of requests that wait.
+// Queued returns the number of queued requests.
 func (p *Planner) Queued() int { return len(p.queue) }
 
-// wait lets a request wait, if it will probably get room before it has to be
-// refused; else it says false.
-func (p *Planner) wait(now clock.Millis, a Ask, room time.Duration) bool {
-	patience := a.Budget - p.least(a)
-	hopeless := room > unsure*patience
-	if !a.Patient || hopeless && room > a.Hold {
+// enqueue queues a request if it will probably get capacity before it has to be
+// refused. It returns false otherwise.
+func (p *Planner) enqueue(now clock.Millis, req Ask, wait time.Duration) bool {
+	slack := req.Budget - p.minTimeToFirstEvent(req)
+	tooLate := wait > waitUncertainty*slack
+	if !req.Patient || tooLate && wait > req.Hold {
 		return false
 	}
-	w := waiting{ask: a, need: p.need(a), until: now.Add(max(patience, 0)), end: now.Add(max(patience, a.Hold, 0))}
-	if hopeless {
-		w.until = now
+	q := queuedRequest{
+		req: req, neededTokens: p.neededTokens(req),
+		deadline: now.Add(max(slack, 0)), refuseAt: now.Add(max(slack, req.Hold, 0)),
 	}
-	p.queue = append(p.queue, w)
+	if tooLate {
+		q.deadline = now
+	}
+	p.queue = append(p.queue, q)
 	return true
 }
 
-// serveQueue grants what waits: first what can still be in time, in order, then
-// what is late, which gets what the others leave. What has waited too long is
-// refused. A late answer is worth something to its caller, and a caller that is refused
-// comes back into the same burst.
+// serveQueue grants queued requests in order: first those that can still be in time,
+// then late ones from the remaining capacity. Requests that have waited too long are
+// refused. Late requests are kept because a late answer is still worth something to the
+// caller, and a refused caller retries into the same burst.
 func (p *Planner) serveQueue(now clock.Millis) {
 	if len(p.queue) == 0 {
-		return // as after most events
+		return // the case after most events
 	}
-	blocked := map[string]bool{} // services for which somebody waits who can be in time
-	p.serveWaiting(now, func(w waiting) bool { return !w.late(now) }, blocked)
-	p.serveWaiting(now, func(w waiting) bool { return w.late(now) && !blocked[w.ask.Service] }, nil)
+	blocked := map[string]bool{} // services with a queued request that can still be in time
+	p.serveMatching(now, func(q queuedRequest) bool { return !q.late(now) }, blocked)
+	p.serveMatching(now, func(q queuedRequest) bool { return q.late(now) && !blocked[q.req.Service] }, nil)
 	kept := p.queue[:0]
-	for _, w := range p.queue {
-		if now < w.end {
-			kept = append(kept, w)
+	for _, q := range p.queue {
+		if now < q.refuseAt {
+			kept = append(kept, q)
 			continue
 		}
-		wait, _ := p.predict(now, w.ask)
-		p.refuse(w.ask, ReasonFull, wait)
+		wait, _ := p.predictWait(now, q.req)
+		p.refuse(q.req, ReasonFull, wait)
 	}
 	p.queue = kept
 }
 
-// serveWaiting grants those of the queue that may be granted and fit, and notes
-// the services of those that do not.
-func (p *Planner) serveWaiting(now clock.Millis, may func(waiting) bool, blocked map[string]bool) {
-	failed := failures{}
+// serveMatching grants the queued requests that may accepts and that fit, and adds the
+// services of those that do not fit to blocked.
+func (p *Planner) serveMatching(now clock.Millis, eligible func(queuedRequest) bool, blocked map[string]bool) {
+	failed := rejections{}
 	kept := p.queue[:0]
-	for _, w := range p.queue {
-		if p.over[w.ask.ID] != 0 {
+	for _, q := range p.queue {
+		if p.ended[q.req.ID] != 0 {
 			continue
 		}
-		if !may(w) {
-			kept = append(kept, w)
+		if !eligible(q) {
+			kept = append(kept, q)
 			continue
 		}
-		w.ask.Late = w.late(now)
-		if !failed.cover(w) {
-			reason := p.place(now, w.ask)
+		q.req.Late = q.late(now)
+		if !failed.covers(q) {
+			reason := p.allocate(now, q.req)
 			if reason == "" {
 				continue
 			}
-			failed.note(w, reason)
+			failed.record(q, reason)
 		}
 		if blocked != nil {
-			blocked[w.ask.Service] = true
+			blocked[q.req.Service] = true
 		}
-		kept = append(kept, w)
+		kept = append(kept, q)
 	}
 	p.queue = kept
 }
 
-// inTimeWaits says whether somebody waits for a service who can be in time.
-func (p *Planner) inTimeWaits(now clock.Millis, service string) bool {
-	for _, w := range p.queue {
-		if w.ask.Service == service && !w.late(now) {
+// inTimeQueued reports whether a queued request of the service can still be in time.
+func (p *Planner) inTimeQueued(now clock.Millis, service string) bool {
+	for _, q := range p.queue {
+		if q.req.Service == service && !q.late(now) {
 			return true
 		}
 	}
--- /dev/null
+++ b/internal/placement/rejections.go
@@ -0,0 +1,54 @@
+package placement
+
+// rejections are the requests that could not be granted in the current state. They let
+// similar requests be skipped: checking a hundred queued requests takes 0.1 ms with
+// them and 1 ms without.
+type rejections map[requestClass]rejection
+
+// requestClass holds the properties of requests that, apart from size, decide whether
+// they can be granted.
+type requestClass struct {
+	service           string
+	part              Part
+	late, once, final bool
+	reason            string
+}
+
+func classOf(req Ask, reason string) requestClass {
+	return requestClass{service: req.Service, part: req.Part, late: req.Late, once: req.Once, final: req.Final, reason: reason}
+}
+
+// rejection is the smallest request of a class that was not granted.
+type rejection struct {
+	req  Ask
+	need int // of KV memory
+}
+
+// record adds a request that was not granted. A request that restricts its engines says
+// nothing about others.
+func (f rejections) record(q queuedRequest, reason string) {
+	if q.restricted() {
+		return
+	}
+	key := classOf(q.req, reason)
+	if before, known := f[key]; !known || q.neededTokens < before.need {
+		f[key] = rejection{req: q.req, need: q.neededTokens}
+	}
+}
+
+// covers reports whether a request cannot be granted because a smaller one was not, for
+// lack of memory or of a prefill engine that is free in time.
+func (f rejections) covers(q queuedRequest) bool {
+	if q.restricted() {
+		return false
+	}
+	if full, known := f[classOf(q.req, ReasonFull)]; known && q.neededTokens >= full.need {
+		return true
+	}
+	busy, known := f[classOf(q.req, ReasonBusy)]
+	inTime := q.req.Prompt >= busy.req.Prompt && q.neededTokens >= busy.need && q.req.Budget <= busy.req.Budget
+	return known && (q.req.Late || inTime)
+}
+
+// restricted reports whether the request excludes or avoids some engines.
+func (q queuedRequest) restricted() bool { return len(q.req.Exclude)+len(q.req.Avoid) > 0 }
