--- a/internal/pace/figure.go
+++ b/internal/pace/figure.go
@@ -5,47 +5,47 @@
 	"slices"
 )
 
-// Figure is one kind's line in short, for peers.
+// Figure is the fitted line of one quantity, as sent to peers.
 type Figure struct {
 	Service string  `cbor:"1,keyasint"`
 	Act     Act     `cbor:"2,keyasint"`
 	Base    float64 `cbor:"3,keyasint"`
 	Slope   float64 `cbor:"4,keyasint"`
-	Low     float64 `cbor:"5,keyasint"` // a small size, of those seen
+	Low     float64 `cbor:"5,keyasint"` // a small observed size
 	High    float64 `cbor:"6,keyasint"` // a large one
 }
 
-// Figures returns what this process has seen enough of itself.
+// Figures returns the lines of which this process has made enough observations itself.
 func (m *Model) Figures() []Figure {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var list []Figure
-	for at, k := range m.kinds {
-		if len(k.sizes) < enough {
+	for id, e := range m.estimators {
+		if len(e.sizes) < minSamples {
 			continue
 		}
-		k.refit()
-		f := Figure{Service: at.service, Act: at.act, Base: k.fit.base, Slope: k.fit.slope}
-		f.Low, f.High = k.span()
+		e.refit()
+		f := Figure{Service: id.service, Act: id.act, Base: e.fit.base, Slope: e.fit.slope}
+		f.Low, f.High = e.sizeRange()
 		list = append(list, f)
 	}
 	return list
 }
 
-// Tell takes what an instance knows; it replaces what the same
-// teller told before.
-func (m *Model) Tell(teller string, list []Figure) {
+// Tell takes the figures of another instance, which replace earlier ones from the same
+// source.
+func (m *Model) Tell(source string, list []Figure) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, f := range list {
-		if f.Act < 0 || f.Act >= acts {
-			continue // of a newer version, which knows more acts
+		if f.Act < 0 || f.Act >= actCount {
+			continue // from a newer version with more quantities
 		}
-		k := m.kind(f.Service, f.Act)
-		if _, known := k.told[teller]; !known && len(k.told) >= peersMost {
-			delete(k.told, slices.Min(slices.Collect(maps.Keys(k.told))))
+		e := m.estimator(f.Service, f.Act)
+		if _, known := e.reported[source]; !known && len(e.reported) >= maxPeers {
+			delete(e.reported, slices.Min(slices.Collect(maps.Keys(e.reported))))
 		}
-		k.told[teller] = f
-		k.fitted = false
+		e.reported[source] = f
+		e.fitted = false
 	}
 }
--- a/internal/pace/pace.go
+++ b/internal/pace/pace.go
@@ -1,10 +1,9 @@
-// Package pace learns how fast model engines of a service work, from what was
-// seen of requests there: how long prompts take to read, how soon an engine
-// begins to answer, how long it takes for a token, how long answers get. Each
-// figure is a line that is fitted to the latest requests by medians, so that
-// single odd ones, and a slow or failing engine among sound ones, do not move
-// it. What is not known yet is assumed cautiously. Learning is pure: it reads no
-// clock and does no I/O.
+// Package pace learns the speed of a service's model engines from observed requests:
+// the time to prefill a prompt, the time to the first event, the time per output token
+// and the lengths of answers. Each quantity is a line fitted to the latest requests by
+// medians, so that single outliers, or one slow or failing engine among healthy ones,
+// do not affect it. Conservative priors are used until enough was observed. Learning is
+// pure: it reads no clock and does no I/O.
 package pace
 
 import (
@@ -16,46 +15,46 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// Act is what a figure tells of.
+// Act identifies the quantity that an Observation or a Figure measures.
 type Act int
 
-// The acts. What each observation's size and outcome are is said here.
+// The quantities, each with the size and the outcome of its observations.
 const (
-	Read   Act = iota // a prefill engine that does nothing else reads a prompt: tokens, ms until it answers
-	Turn              // the same, one prompt after the other: tokens, ms between its answers
-	Begin             // a decode engine begins, the KV cache lying elsewhere: tokens of the prompt, ms to the first event
-	Whole             // a decode engine reads the prompt and begins: tokens of the prompt, ms to the first event
-	Step              // a decode engine makes a token: requests running there, ms for each token
-	Length            // an answer on a route: tokens expected, tokens made; Engine names the route
-	Prompt            // a prompt on a route: 0, tokens
-	Answer            // an answer on a route, whatever was expected: 0, tokens
-	acts
+	Read   Act = iota // prefill at an idle prefill engine: tokens of the prompt, ms until it answers
+	Turn              // prefill of queued prompts: tokens of the prompt, ms from the previous answer
+	Begin             // decode with the KV cache from another engine: tokens of the prompt, ms to the first event
+	Whole             // prefill and decode at one engine: tokens of the prompt, ms to the first event
+	Step              // decode: running requests, ms per token
+	Length            // answers of a route: expected tokens, actual tokens; Engine is the route
+	Prompt            // prompts of a route: 0, tokens
+	Answer            // answers of a route, whatever was expected: 0, tokens
+	actCount
 )
 
 const (
-	// ringSize is how many of an engine's latest requests are looked at: a
-	// changed engine is known for what it is after half as many.
-	ringSize = 16
-	// enough is how many requests an engine must have served before it counts
-	// for itself; a median over fewer may be one odd request.
-	enough = 4
-	// sampleLife is how long an engine counts as slower or faster than its kind
-	// after the requests that showed it. It gets requests again then, which show
-	// whether it still is.
-	sampleLife = 20 * time.Second
-	// kindTolerance is how far an engine may be from its kind before it is
-	// predicted for itself: closer than that the difference is mostly chance.
-	kindTolerance = 0.1
-	// peersMost bounds how many instances' figures are kept.
-	peersMost = 8
-	// mostQuantile is the part of requests that take no longer than Most.
-	mostQuantile = 0.9
+	// maxSamples is the number of latest requests kept per engine. A change of an
+	// engine shows after half as many.
+	maxSamples = 16
+	// minSamples is the number of requests from which an engine is taken into account:
+	// a median over fewer may be a single outlier.
+	minSamples = 4
+	// maxSampleAge is how long an engine is predicted as slower or faster than the
+	// others after the requests that showed it. After that it gets requests again,
+	// which show whether it still is.
+	maxSampleAge = 20 * time.Second
+	// minDeviation is the difference from other engines above which an engine gets its
+	// own prediction; smaller ones are mostly noise.
+	minDeviation = 0.1
+	// maxPeers bounds the number of instances whose figures are kept.
+	maxPeers = 8
+	// highQuantile is the fraction of requests that take no longer than Most.
+	highQuantile = 0.9
 )
 
-// AnyEngine asks for what engines of a service usually do.
+// AnyEngine selects the prediction for a typical engine of a service.
 const AnyEngine = ""
 
-// Observation is one request's outcome. Size and Outcome are as Act says.
+// Observation is the outcome of one request. Size and Outcome depend on Act.
 type Observation struct {
 	Service string
 	Engine  string
@@ -64,13 +63,12 @@
 	Outcome float64
 }
 
-// Model holds what was learned of all services. It may be used from any
-// goroutine.
+// Model holds the estimators of all services. It is safe for concurrent use.
 type Model struct {
 	prior Prior
 
-	mu    sync.Mutex
-	kinds map[key]*kind
+	mu         sync.Mutex
+	estimators map[key]*estimator
 }
 
 type key struct {
@@ -78,134 +76,133 @@
 	act     Act
 }
 
-// New returns a model that has seen nothing and assumes prior.
+// New returns a model without observations, which predicts by prior.
 func New(prior Prior) *Model {
-	return &Model{prior: prior, kinds: map[key]*kind{}}
+	return &Model{prior: prior, estimators: map[key]*estimator{}}
 }
 
-// Learn takes one observation. Outcomes that are no times, or no numbers, are
-// passed over: they come from engines that answered nonsense.
+// Learn adds one observation. Invalid times and numbers, from engines that report
+// nonsense, are ignored.
 func (m *Model) Learn(now clock.Millis, o Observation) {
 	if !(o.Size >= 0) || !(o.Outcome > 0) || math.IsInf(o.Size+o.Outcome, 0) {
 		return
 	}
 	if o.Act == Length {
-		o.Size, o.Outcome = logarithm(o.Size), logarithm(o.Outcome)
+		o.Size, o.Outcome = logTokens(o.Size), logTokens(o.Outcome)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.kind(o.Service, o.Act).learn(o.Engine, sample{size: o.Size, outcome: o.Outcome, at: now})
+	m.estimator(o.Service, o.Act).learn(o.Engine, sample{size: o.Size, outcome: o.Outcome, at: now})
 }
 
-// Span is a predicted time: half of the requests take no longer than Likely,
-// nine in ten no longer than Most.
+// Span is a predicted time: half of the requests take no longer than Likely, nine in
+// ten no longer than Most.
 type Span struct {
 	Likely, Most time.Duration
 }
 
-// Span predicts a time of Read, Turn, Begin or Whole for a prompt.
+// Span predicts the time of Read, Turn, Begin or Whole for a prompt.
 func (m *Model) Span(act Act, service, engine string, prompt int) Span {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	k := m.kind(service, act)
-	likely := k.predict(engine, float64(prompt))
-	return Span{Likely: millis(likely), Most: millis(likely * k.spread())}
+	e := m.estimator(service, act)
+	likely := e.predict(engine, float64(prompt))
+	return Span{Likely: millisToDuration(likely), Most: millisToDuration(likely * e.spread())}
 }
 
-// Likely is the same without Most, which takes longer to work out the more
-// engines there are.
+// Likely is like Span without Most, whose cost grows with the number of engines.
 func (m *Model) Likely(act Act, service, engine string, prompt int) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return millis(m.kind(service, act).predict(engine, float64(prompt)))
+	return millisToDuration(m.estimator(service, act).predict(engine, float64(prompt)))
 }
 
-// Step predicts the time of one token at an engine beside other requests.
+// Step predicts the time per token at an engine with a number of running requests.
 func (m *Model) Step(service, engine string, running int) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return millis(m.kind(service, Step).predict(engine, float64(running)))
+	return millisToDuration(m.estimator(service, Step).predict(engine, float64(running)))
 }
 
-// Tokens is a predicted length: half of the answers are no longer than Likely;
-// Mean is what many of them come to on average.
+// Tokens is a predicted length: half of the answers are no longer than Likely; Mean is
+// the average.
 type Tokens struct {
 	Likely, Mean int
 }
 
-// Length predicts the length of an answer on a route from what the caller
-// expects; most is the longest that it may get, and 0 if it does not say.
+// Length predicts the length of an answer on a route from the length that the caller
+// expects, or 0. most is the maximum length, or 0 if unknown.
 func (m *Model) Length(service, route string, expected, most int) Tokens {
 	if expected <= 0 {
 		expected = int(m.prior.LengthPart * float64(most))
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	k := m.kind(service, Length)
-	likely := math.Exp(k.predict(route, logarithm(float64(expected))))
-	mean := likely * k.meanRatio()
+	e := m.estimator(service, Length)
+	likely := math.Exp(e.predict(route, logTokens(float64(expected))))
+	mean := likely * e.meanRatio()
 	if most > 0 {
 		likely, mean = min(likely, float64(most)), min(mean, float64(most))
 	}
 	return Tokens{Likely: int(math.Round(likely)), Mean: int(math.Round(mean))}
 }
 
-// Usual is the usual size of prompts or answers of a service, in tokens; false
-// if none was seen.
+// Usual returns the typical size of a service's prompts or answers in tokens, or false
+// if none was observed.
 func (m *Model) Usual(act Act, service string) (int, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	k := m.kind(service, act)
-	tokens := k.predict(AnyEngine, 0)
-	return int(tokens), k.known
+	e := m.estimator(service, act)
+	tokens := e.predict(AnyEngine, 0)
+	return int(tokens), e.known
 }
 
-// Seen is how many observations of an act this process has made itself.
+// Seen returns the number of observations of a quantity by this process.
 func (m *Model) Seen(service string, act Act) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.kind(service, act).seen
+	return m.estimator(service, act).observations
 }
 
-// Forget drops engines that are gone; live says which are not. What belongs to
-// routes stays: there are few, and their figures are bounded.
+// Forget drops the samples of removed engines, those for which live returns false.
+// Samples of routes are kept: routes are few, and their samples are bounded.
 func (m *Model) Forget(live func(engine string) bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for k, kind := range m.kinds {
-		if k.act < Length {
-			kind.forget(live)
+	for id, e := range m.estimators {
+		if id.act < Length {
+			e.forget(live)
 		}
 	}
 }
 
-func (m *Model) kind(service string, act Act) *kind {
-	at := key{service, act}
-	k := m.kinds[at]
-	if k == nil {
-		k = &kind{prior: m.prior.line(act), additive: act == Length, engines: map[string]*track{}, told: map[string]Figure{}}
-		m.kinds[at] = k
+func (m *Model) estimator(service string, act Act) *estimator {
+	id := key{service, act}
+	e := m.estimators[id]
+	if e == nil {
+		e = &estimator{prior: m.prior.line(act), logarithmic: act == Length, engines: map[string]*history{}, reported: map[string]Figure{}}
+		m.estimators[id] = e
 	}
-	return k
+	return e
 }
 
-func logarithm(tokens float64) float64 { return math.Log(max(tokens, 1)) }
+func logTokens(tokens float64) float64 { return math.Log(max(tokens, 1)) }
 
-// millis is a time of so many ms, to the microsecond.
-func millis(v float64) time.Duration {
+// millisToDuration converts ms, rounded to a microsecond.
+func millisToDuration(v float64) time.Duration {
 	return time.Duration(math.Round(v*1000)) * time.Microsecond
 }
 
-// median sorts its argument.
+// median sorts its argument, which must not be empty.
 func median(list []float64) float64 { return quantile(list, 0.5) }
 
 // quantile sorts its argument, which must not be empty.
 func quantile(list []float64, part float64) float64 {
 	slices.Sort(list)
-	return ofSorted(list, part)
+	return quantileOfSorted(list, part)
 }
 
-// ofSorted is the quantile of what is in order.
-func ofSorted(list []float64, part float64) float64 {
+// quantileOfSorted is quantile for a sorted list.
+func quantileOfSorted(list []float64, part float64) float64 {
 	return list[min(int(part*float64(len(list))), len(list)-1)]
 }
--- a/internal/pace/pace_test.go
+++ b/internal/pace/pace_test.go
@@ -13,9 +13,9 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// reads has engines read prompts of 500 to 6,000 tokens: setup ms and perToken
-// ms, within 5 in 100.
-func reads(m *pace.Model, r *rand.Rand, engine string, n int, setup, perToken float64) {
+// learnPrefills observes n prompts of 500 to 6,000 tokens that take setup ms plus
+// perToken ms per token, within 5%.
+func learnPrefills(m *pace.Model, r *rand.Rand, engine string, n int, setup, perToken float64) {
 	for i := range n {
 		size := 500 + 5500*r.Float64()
 		m.Learn(clock.Millis(i*100), pace.Observation{
@@ -25,13 +25,13 @@
 	}
 }
 
-// near asserts that got is within a part of want.
-func near(c *qt.C, got, want, part float64) {
+// assertNear asserts that got is within a fraction of want.
+func assertNear(c *qt.C, got, want, part float64) {
 	c.Helper()
 	c.Assert(math.Abs(got-want) <= part*want, qt.IsTrue, qt.Commentf("got %.3f, want %.3f", got, want))
 }
 
-func TestEnginesAreLearned(t *testing.T) {
+func TestLearnEngines(t *testing.T) {
 	tests := []struct {
 		name            string
 		setup, perToken float64
@@ -46,24 +46,24 @@
 			c := qt.New(t)
 			m, r := pace.New(pace.Cautious()), rand.New(rand.NewPCG(1, 2))
 			for i := range 3 {
-				reads(m, r, fmt.Sprint("e", i), 8, test.setup, test.perToken)
+				learnPrefills(m, r, fmt.Sprint("e", i), 8, test.setup, test.perToken)
 			}
 			for _, prompt := range []int{1000, 3000, 5000} {
-				near(c, clock.InMillis(m.Span(pace.Read, "llm", "e1", prompt).Likely), test.setup+test.perToken*float64(prompt), 0.12)
-				near(c, clock.InMillis(m.Span(pace.Read, "llm", "unseen", prompt).Likely), test.setup+test.perToken*float64(prompt), 0.12)
+				assertNear(c, clock.InMillis(m.Span(pace.Read, "llm", "e1", prompt).Likely), test.setup+test.perToken*float64(prompt), 0.12)
+				assertNear(c, clock.InMillis(m.Span(pace.Read, "llm", "unseen", prompt).Likely), test.setup+test.perToken*float64(prompt), 0.12)
 			}
 			c.Assert(m.Span(pace.Read, "other", "e1", 3000), qt.Equals, pace.New(pace.Cautious()).Span(pace.Read, "other", "e1", 3000))
 		})
 	}
 }
 
-// One engine that is slow, or lies, changes what is predicted of itself and not
-// of its kind, however many requests it serves.
-func TestOneEngineDoesNotPoison(t *testing.T) {
+// An engine that is slow or reports wrong times affects only its own prediction,
+// regardless of how many requests it serves.
+func TestOutlierEngineIsIsolated(t *testing.T) {
 	tests := []struct {
 		name   string
 		factor float64
-		itself float64 // what is predicted of it, of the true figure
+		itself float64 // its own prediction as a factor of the others' time
 	}{
 		{"five times slower", 5, 5},
 		{"a hundred times slower", 100, 100},
@@ -73,34 +73,33 @@
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			m, r := pace.New(pace.Cautious()), rand.New(rand.NewPCG(3, 4))
-			reads(m, r, "e1", 8, 10, 0.03)
-			reads(m, r, "e2", 8, 10, 0.03)
-			reads(m, r, "odd", 400, 10*test.factor, 0.03*test.factor)
-			near(c, clock.InMillis(m.Span(pace.Read, "llm", "e1", 3000).Likely), 100, 0.15)
-			near(c, clock.InMillis(m.Span(pace.Read, "llm", "unseen", 3000).Likely), 100, 0.15)
-			near(c, clock.InMillis(m.Span(pace.Read, "llm", "odd", 3000).Likely), 100*test.itself, 0.15)
+			learnPrefills(m, r, "e1", 8, 10, 0.03)
+			learnPrefills(m, r, "e2", 8, 10, 0.03)
+			learnPrefills(m, r, "odd", 400, 10*test.factor, 0.03*test.factor)
+			assertNear(c, clock.InMillis(m.Span(pace.Read, "llm", "e1", 3000).Likely), 100, 0.15)
+			assertNear(c, clock.InMillis(m.Span(pace.Read, "llm", "unseen", 3000).Likely), 100, 0.15)
+			assertNear(c, clock.InMillis(m.Span(pace.Read, "llm", "odd", 3000).Likely), 100*test.itself, 0.15)
 		})
 	}
 }
 
-// Where two kinds of engine serve one service, each engine is predicted for
-// itself.
+// If a service has two types of engine, each engine gets its own prediction.
 func TestTwoKindsOfEngine(t *testing.T) {
 	c := qt.New(t)
 	m, r := pace.New(pace.Cautious()), rand.New(rand.NewPCG(5, 6))
 	for i := range 4 {
-		reads(m, r, fmt.Sprint("old", i), 12, 20, 0.06)
-		reads(m, r, fmt.Sprint("new", i), 12, 5, 0.015)
+		learnPrefills(m, r, fmt.Sprint("old", i), 12, 20, 0.06)
+		learnPrefills(m, r, fmt.Sprint("new", i), 12, 5, 0.015)
 	}
 	for i := range 4 {
-		near(c, clock.InMillis(m.Span(pace.Read, "llm", fmt.Sprint("old", i), 3000).Likely), 200, 0.15)
-		near(c, clock.InMillis(m.Span(pace.Read, "llm", fmt.Sprint("new", i), 3000).Likely), 50, 0.15)
+		assertNear(c, clock.InMillis(m.Span(pace.Read, "llm", fmt.Sprint("old", i), 3000).Likely), 200, 0.15)
+		assertNear(c, clock.InMillis(m.Span(pace.Read, "llm", fmt.Sprint("new", i), 3000).Likely), 50, 0.15)
 	}
 }
 
-// An engine that was slow is taken for one of its kind again once that is long
-// ago: it would get no requests that show it, otherwise.
-func TestSlownessIsForgiven(t *testing.T) {
+// An engine that was slow is predicted like the others after maxSampleAge; otherwise it
+// would get no requests that show a recovery.
+func TestSlownessExpires(t *testing.T) {
 	c := qt.New(t)
 	m := pace.New(pace.Cautious())
 	step := func(at clock.Millis, engine string, ms float64) {
@@ -111,24 +110,24 @@
 		step(clock.Millis(i), "e2", 5)
 		step(clock.Millis(i), "slow", 50)
 	}
-	near(c, clock.InMillis(m.Step("llm", "slow", 8)), 50, 0.01)
+	assertNear(c, clock.InMillis(m.Step("llm", "slow", 8)), 50, 0.01)
 	step(30_000, "e1", 5)
-	near(c, clock.InMillis(m.Step("llm", "slow", 8)), 5, 0.01)
+	assertNear(c, clock.InMillis(m.Step("llm", "slow", 8)), 5, 0.01)
 }
 
-func TestMostIsBeyondLikely(t *testing.T) {
+func TestSpan(t *testing.T) {
 	c := qt.New(t)
 	m, r := pace.New(pace.Cautious()), rand.New(rand.NewPCG(7, 8))
 	for i := range 200 {
 		m.Learn(clock.Millis(i), pace.Observation{Service: "llm", Engine: "e", Act: pace.Begin, Size: 3000, Outcome: 100 * math.Exp(0.5*r.NormFloat64())})
 	}
 	s := m.Span(pace.Begin, "llm", "e", 3000)
-	near(c, clock.InMillis(s.Likely), 100, 0.3)
-	near(c, float64(s.Most)/float64(s.Likely), 1.9, 0.4) // exp(0.5 * 1.28)
+	assertNear(c, clock.InMillis(s.Likely), 100, 0.3)
+	assertNear(c, float64(s.Most)/float64(s.Likely), 1.9, 0.4) // exp(0.5 * 1.28)
 }
 
-// Callers expect about the right length at the median and are often far off, so
-// an unusual expectation is drawn towards the usual length.
+// Expected lengths are about right at the median and often far off, so an unusual
+// expectation is corrected towards the typical length.
 func TestLength(t *testing.T) {
 	c := qt.New(t)
 	m, r := pace.New(pace.Cautious()), rand.New(rand.NewPCG(9, 10))
@@ -140,34 +139,34 @@
 		m.Learn(clock.Millis(i), pace.Observation{Service: "llm", Engine: fmt.Sprint("r", i%16), Act: pace.Length, Size: hint, Outcome: length})
 	}
 	usual := m.Length("llm", "r", 403, 0)
-	near(c, float64(usual.Likely), 403, 0.25)
+	assertNear(c, float64(usual.Likely), 403, 0.25)
 	c.Assert(usual.Mean > usual.Likely, qt.IsTrue)
 	long := m.Length("llm", "r", 4030, 0).Likely
 	c.Assert(long > 2*usual.Likely && long < 3000, qt.IsTrue, qt.Commentf("%d", long))
 	c.Assert(m.Length("llm", "r", 4030, 500).Likely, qt.Equals, 500)
 }
 
-// A process that starts predicts what peers, or the store, tell, until it has
-// seen enough itself.
-func TestPeersTell(t *testing.T) {
+// A process that has just started predicts by figures of peers, or from the store,
+// until it has enough observations.
+func TestPeerFigures(t *testing.T) {
 	c := qt.New(t)
 	old, r := pace.New(pace.Cautious()), rand.New(rand.NewPCG(11, 12))
-	reads(old, r, "e1", 16, 5, 0.1)
+	learnPrefills(old, r, "e1", 16, 5, 0.1)
 	m := pace.New(pace.Cautious())
 	m.Tell("n1", old.Figures())
-	near(c, clock.InMillis(m.Span(pace.Read, "llm", "e9", 3000).Likely), 305, 0.1)
-	c.Assert(m.Figures(), qt.HasLen, 0) // hearsay is not passed on
+	assertNear(c, clock.InMillis(m.Span(pace.Read, "llm", "e9", 3000).Likely), 305, 0.1)
+	c.Assert(m.Figures(), qt.HasLen, 0) // figures of peers are not passed on
 	m.Tell("n1", []pace.Figure{{Service: "llm", Act: 99}})
 	for i := range 4 {
-		reads(m, r, fmt.Sprint("e", i), 16, 5, 0.02)
+		learnPrefills(m, r, fmt.Sprint("e", i), 16, 5, 0.02)
 	}
-	near(c, clock.InMillis(m.Span(pace.Read, "llm", "e1", 3000).Likely), 65, 0.15)
+	assertNear(c, clock.InMillis(m.Span(pace.Read, "llm", "e1", 3000).Likely), 65, 0.15)
 	m.Forget(func(engine string) bool { return engine == "e1" })
-	near(c, clock.InMillis(m.Span(pace.Read, "llm", "e1", 3000).Likely), 65, 0.15)
+	assertNear(c, clock.InMillis(m.Span(pace.Read, "llm", "e1", 3000).Likely), 65, 0.15)
 }
 
-// Whatever is observed, predictions are finite and not below zero, and grow with
-// the prompt.
+// Predictions for any observations are finite and not negative, and grow with the
+// prompt.
 func TestRandomObservations(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := pace.New(pace.Cautious())
--- a/internal/pace/prior.go
+++ b/internal/pace/prior.go
@@ -6,21 +6,20 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// Prior is what is assumed of engines of which nothing was seen yet. Its zero
-// value is of no use; Cautious returns the usual one.
+// Prior holds the assumptions about engines without observations. Its zero value is not
+// usable; Cautious returns the default.
 type Prior struct {
-	ReadSetup  time.Duration // until an engine answers, besides the prompt's tokens; it may read the next one meanwhile
-	ReadToken  time.Duration // of each token of a prompt
-	Begin      time.Duration // from handing over a KV cache to the first event
-	WholeToken time.Duration // of each token that a decode engine reads itself
-	Step       time.Duration // of one token of an answer
-	LengthPart float64       // of the longest answer, where the caller expects nothing
+	ReadSetup  time.Duration // time to an engine's answer on top of the prompt's tokens; it may start the next prompt meanwhile
+	ReadToken  time.Duration // per token of a prompt
+	Begin      time.Duration // from handing over the KV cache to the first event
+	WholeToken time.Duration // per token of a prompt that a decode engine prefills
+	Step       time.Duration // per token of an answer
+	LengthPart float64       // expected fraction of the maximum length if the caller gives no expectation
 }
 
-// Cautious assumes engines at the slow end of those that serve models of some
-// tens of billions of parameters: to take an engine for slower than it is
-// refuses a few requests of the first second, to take it for faster reads their
-// prompts for nothing.
+// Cautious assumes engines at the slow end of those that serve models of some tens of
+// billions of parameters: assuming a too slow engine refuses a few requests in the
+// first second, assuming a too fast one wastes the prefills of their prompts.
 func Cautious() Prior {
 	return Prior{
 		ReadSetup:  40 * time.Millisecond,
@@ -46,7 +45,7 @@
 		return line{base: clock.InMillis(p.Step)}
 	case Length: // an answer is as long as expected; both are logarithms
 		return line{slope: 1}
-	default: // sizes are not assumed
+	default: // no assumption about sizes
 		return line{base: 1}
 	}
 }
