--- a/internal/staging/policy.go
+++ b/internal/staging/policy.go
@@ -1,8 +1,8 @@
-// Package staging changes the stages of engines: how many read prompts and how
-// many decode. The right split follows from the sizes of requests and from the
-// engines' data. Where it is off by more than the sizes vary, as many engines
-// as it is off by are told to change, up to a part of all at a time, since a
-// change takes seconds in which an engine does nothing.
+// Package staging decides how many engines of a service prefill prompts and how many
+// decode, and changes their stages. The right split follows from the sizes of requests
+// and from the engines' data. If the split deviates by more than the sizes vary, as
+// many engines are changed as it deviates by, up to a fraction of all at a time: a
+// change takes seconds, in which the engine serves nothing.
 package staging
 
 import (
@@ -19,89 +19,90 @@
 )
 
 const (
-	// prefillSpare is how much more prefill capacity than decode capacity is
-	// wanted: prompts that queue make first events late, while decode engines
-	// take what fits.
-	prefillSpare = 1.15
-	// offBy is by how many engines the split must be off, and offPart by which
-	// part of all: means over sizeMemory requests vary by some hundredths.
-	offBy   = 0.6
-	offPart = 0.03
-	// leastSizes is how many requests must have been seen.
-	leastSizes = 8
-	// variationLeast is what requests are taken to vary by at the least, as a
-	// part of their mean: answers do by about 0.7 where they end by themselves,
-	// and a few alike ones tell nothing of those to come.
-	variationLeast = 0.7
-	// settleSlack is how much longer than a change takes an order counts as under
-	// way while the engine does not show its new stage: an unanswered order may
-	// be carried out seconds later.
-	settleSlack = 7 * time.Second
-	// underWayPart of a service's engines may change at a time, at least one.
-	underWayPart = 1.0 / 6
+	// prefillCapacityFactor is the wanted ratio of prefill capacity to decode capacity.
+	// Queued prompts delay first events, while decode engines run all that fits.
+	prefillCapacityFactor = 1.15
+	// minDeviation is by how many engines the split must deviate before any is changed,
+	// and minDeviationFraction by what fraction of all: means over sizeWindow requests
+	// vary by a few percent.
+	minDeviation         = 0.6
+	minDeviationFraction = 0.03
+	// minRequests is the number of requests that must have been observed.
+	minRequests = 8
+	// minVariation is the lower bound of the assumed standard deviation of request
+	// sizes, as a fraction of their mean. It is about 0.7 for answers that end by
+	// themselves, and a few similar ones say nothing about later ones.
+	minVariation = 0.7
+	// orderSlack is added to the duration of a stage change to get the time for which
+	// an order counts as pending while the engine does not show its new stage: an order
+	// without a response may be carried out seconds later.
+	orderSlack = 7 * time.Second
+	// maxChangingFraction is the fraction of a service's engines that may change at a
+	// time, rounded down, but at least one.
+	maxChangingFraction = 1.0 / 6
 )
 
-// Sizes are the running means of requests.
+// Sizes holds running means of request sizes.
 type Sizes struct {
-	Requests int
-	Prompt   float64 // tokens
-	Output   float64 // tokens
-	squares  [2]float64
+	Requests    int
+	Prompt      float64 // tokens
+	Output      float64 // tokens
+	meanSquares [2]float64
 }
 
-// Add takes one request's tokens.
+// Add adds one request.
 func (s *Sizes) Add(prompt, output int) {
 	s.Requests++
-	weight := 1 / float64(min(s.Requests, sizeMemory))
+	weight := 1 / float64(min(s.Requests, sizeWindow))
 	s.Prompt += (float64(prompt) - s.Prompt) * weight
 	s.Output += (float64(output) - s.Output) * weight
 	for i, v := range []int{prompt, output} {
-		s.squares[i] += (float64(v)*float64(v) - s.squares[i]) * weight
+		s.meanSquares[i] += (float64(v)*float64(v) - s.meanSquares[i]) * weight
 	}
 }
 
-// uncertainty is the relative error of a split that follows from these means:
-// what requests vary by, divided by the square root of their number.
+// uncertainty is the relative error of a split derived from these means: the variation
+// of requests divided by the square root of their number.
 func (s Sizes) uncertainty() float64 {
-	variation := variationLeast
+	variation := minVariation
 	for i, mean := range []float64{s.Prompt, s.Output} {
 		if mean > 0 {
-			variation = max(variation, math.Sqrt(max(s.squares[i]/(mean*mean)-1, 0)))
+			variation = max(variation, math.Sqrt(max(s.meanSquares[i]/(mean*mean)-1, 0)))
 		}
 	}
-	return variation / math.Sqrt(float64(min(s.Requests, sizeMemory)))
+	return variation / math.Sqrt(float64(min(s.Requests, sizeWindow)))
 }
 
-// sizeMemory is over how many requests the means run.
-const sizeMemory = 200
+// sizeWindow is the number of requests that the running means cover.
+const sizeWindow = 200
 
-// Order tells one engine to change its stage.
+// Order instructs one engine to change its stage.
 type Order struct {
 	Endpoint *directory.Endpoint
 	Stage    directory.Stage
-	Wanted   float64 // prefill engines that the service should have
-	Present  int     // that it has, counting orders under way as carried out
+	Wanted   float64 // target number of prefill engines of the service
+	Present  int     // current number, with pending orders counted as carried out
 }
 
-// Policy decides. It is not safe for concurrent use.
+// Policy decides on orders. It is not safe for concurrent use.
 type Policy struct {
-	ordered map[string]ordered // by engine
+	pending map[string]pendingOrder // by engine
 }
 
-// ordered is a change under way.
-type ordered struct {
+// pendingOrder is an order that the engine has not visibly carried out yet.
+type pendingOrder struct {
 	stage directory.Stage
 	until clock.Millis
 }
 
-// NewPolicy returns a policy that has ordered nothing.
-func NewPolicy() *Policy { return &Policy{ordered: map[string]ordered{}} }
+// NewPolicy returns a policy without pending orders.
+func NewPolicy() *Policy { return &Policy{pending: map[string]pendingOrder{}} }
 
-// PutOff takes back an order that was not given: its engine is as it was, and the place
-// among those that may change at a time is free.
-func (p *Policy) PutOff(o Order) { delete(p.ordered, o.Endpoint.ID) }
+// Withdraw removes a pending order that was not sent. Its engine keeps its stage, and
+// another engine may change in its place.
+func (p *Policy) Withdraw(o Order) { delete(p.pending, o.Endpoint.ID) }
 
-// Decide returns the next orders, of all services.
+// Decide returns the next orders for all services.
 func (p *Policy) Decide(now clock.Millis, v *directory.View, sizes map[string]Sizes, paces *pace.Model) []Order {
 	if v.Table == nil {
 		return nil
@@ -109,71 +110,71 @@
 	var orders []Order
 	for name, s := range sizes {
 		service := v.Table.Service(name)
-		if service == nil || service.Engine == nil || s.Requests < leastSizes {
+		if service == nil || service.Engine == nil || s.Requests < minRequests {
 			continue
 		}
-		zones, all, underWay := p.split(now, v.Service(name))
-		most := max(int(underWayPart*float64(all)), 1) - underWay
-		for _, o := range choose(zones, wanted(s, service, paces), s.uncertainty(), most) {
-			p.ordered[o.Endpoint.ID] = ordered{stage: o.Stage, until: now.Add(service.Engine.Switch() + settleSlack)}
+		zones, total, changingCount := p.groupByZone(now, v.Service(name))
+		most := max(int(maxChangingFraction*float64(total)), 1) - changingCount
+		for _, o := range chooseOrders(zones, prefillShare(s, service, paces), s.uncertainty(), most) {
+			p.pending[o.Endpoint.ID] = pendingOrder{stage: o.Stage, until: now.Add(service.Engine.Switch() + orderSlack)}
 			orders = append(orders, o)
 		}
 	}
 	return orders
 }
 
-// wanted is the share of engines that should read prompts: in proportion to
-// the engine time that one request takes at each stage. Decoding shares an
-// engine between as many requests as its memory and its slots hold.
-func wanted(s Sizes, service *route.Service, paces *pace.Model) float64 {
+// prefillShare is the share of engines that should prefill, in proportion to the engine
+// time per request at each stage. A decode engine is shared by as many requests as fit
+// into its memory and its slots.
+func prefillShare(s Sizes, service *route.Service, paces *pace.Model) float64 {
 	e := service.Engine
-	read := prefillSpare * paces.Likely(pace.Turn, service.Name, pace.AnyEngine, int(s.Prompt)).Seconds()
-	together := float64(max(e.KVTokens, 1)) / max(s.Prompt+s.Output/2, 1)
+	read := prefillCapacityFactor * paces.Likely(pace.Turn, service.Name, pace.AnyEngine, int(s.Prompt)).Seconds()
+	concurrent := float64(max(e.KVTokens, 1)) / max(s.Prompt+s.Output/2, 1)
 	if e.Slots > 0 {
-		together = min(together, float64(e.Slots))
+		concurrent = min(concurrent, float64(e.Slots))
 	}
-	together = max(together, 1)
-	decode := s.Output * paces.Step(service.Name, pace.AnyEngine, int(together)).Seconds() / together
+	concurrent = max(concurrent, 1)
+	decode := s.Output * paces.Step(service.Name, pace.AnyEngine, int(concurrent)).Seconds() / concurrent
 	if read+decode == 0 {
 		return 0.5
 	}
 	return read / (read + decode)
 }
 
-// zone is the engines of one zone. Those with an order under way count as they
-// will be, and are not among those that may be ordered.
+// zone holds the engines of one zone. Engines with a pending order count with their new
+// stage and are not candidates for another.
 type zone struct {
-	name                  string
-	prefill, decode       int
-	mayDecode, mayPrefill []*directory.Endpoint
+	name                                string
+	prefill, decode                     int
+	decodeCandidates, prefillCandidates []*directory.Endpoint
 }
 
-// choose returns up to most orders that bring the split to share, once it is
-// off by enough, as near as the uncertainty of share allows.
-func choose(zones []*zone, share, uncertainty float64, most int) []Order {
+// chooseOrders returns up to most orders that bring the split to share as far as its
+// uncertainty allows, if it deviates enough.
+func chooseOrders(zones []*zone, share, uncertainty float64, most int) []Order {
 	prefill, decode := 0, 0
 	for _, z := range zones {
 		prefill += z.prefill
 		decode += z.decode
 	}
-	all := prefill + decode
-	if all < 2 {
+	total := prefill + decode
+	if total < 2 {
 		return nil
 	}
-	want := min(max(share*float64(all), 1), float64(all-1))
-	unsure := want * uncertainty
-	if math.Abs(float64(prefill)-want) < max(offBy, offPart*float64(all))+unsure {
+	target := min(max(share*float64(total), 1), float64(total-1))
+	margin := target * uncertainty
+	if math.Abs(float64(prefill)-target) < max(minDeviation, minDeviationFraction*float64(total))+margin {
 		return nil
 	}
 	var orders []Order
 	for len(orders) < most {
-		o := Order{Wanted: want, Present: prefill}
-		switch off := float64(prefill) - want; {
-		case off >= offBy+unsure:
-			o.Endpoint, o.Stage = toDecode(zones), directory.Decode
+		o := Order{Wanted: target, Present: prefill}
+		switch deviation := float64(prefill) - target; {
+		case deviation >= minDeviation+margin:
+			o.Endpoint, o.Stage = switchToDecode(zones), directory.Decode
 			prefill--
-		case off <= -offBy-unsure:
-			o.Endpoint, o.Stage = toPrefill(zones), directory.Prefill
+		case deviation <= -minDeviation-margin:
+			o.Endpoint, o.Stage = switchToPrefill(zones), directory.Prefill
 			prefill++
 		}
 		if o.Endpoint == nil {
@@ -184,11 +185,12 @@
 	return orders
 }
 
-// split sorts engines by zone and counts them and the orders under way.
-func (p *Policy) split(now clock.Millis, engines iter.Seq[*directory.Endpoint]) (zones []*zone, all, underWay int) {
+// groupByZone groups engines by zone. It also counts all engines and the pending
+// orders.
+func (p *Policy) groupByZone(now clock.Millis, engines iter.Seq[*directory.Endpoint]) (zones []*zone, total, changingCount int) {
 	byName := map[string]*zone{}
 	for e := range engines {
-		all++
+		total++
 		if e.State != directory.Ready || e.Stage == directory.Whole {
 			continue
 		}
@@ -199,60 +201,61 @@
 			zones = append(zones, z)
 		}
 		stage := e.Stage
-		o, changing := p.ordered[e.ID]
+		o, changing := p.pending[e.ID]
 		switch {
 		case changing && o.until <= now:
-			delete(p.ordered, e.ID)
+			delete(p.pending, e.ID)
 			changing = false
 		case changing:
 			stage = o.stage
-			underWay++
+			changingCount++
 		}
 		z.add(e, stage, changing)
 	}
 	slices.SortFunc(zones, func(a, b *zone) int { return cmp.Compare(a.name, b.name) })
-	return zones, all, underWay
+	return zones, total, changingCount
 }
 
 func (z *zone) add(e *directory.Endpoint, stage directory.Stage, changing bool) {
-	mayChange := &z.mayPrefill
+	candidates := &z.prefillCandidates
 	if stage == directory.Prefill {
 		z.prefill++
-		mayChange = &z.mayDecode
+		candidates = &z.decodeCandidates
 	} else {
 		z.decode++
 	}
 	if !changing {
-		*mayChange = append(*mayChange, e)
+		*candidates = append(*candidates, e)
 	}
 }
 
-// toDecode takes a prefill engine from the zone that has most of them, for its
-// decode engines, and never the last of a zone.
-func toDecode(zones []*zone) *directory.Endpoint {
+// switchToDecode selects a prefill engine from the zone with the most of them per
+// decode engine, but not a zone's last one.
+func switchToDecode(zones []*zone) *directory.Endpoint {
 	from := slices.MaxFunc(zones, func(a, b *zone) int { return cmp.Compare(a.ratio(), b.ratio()) })
-	if from.prefill < 2 || len(from.mayDecode) == 0 {
+	if from.prefill < 2 || len(from.decodeCandidates) == 0 {
 		return nil
 	}
 	from.prefill--
 	from.decode++
-	return take(&from.mayDecode)
+	return takeLowest(&from.decodeCandidates)
 }
 
-// toPrefill takes a decode engine from the zone that has fewest prefill
-// engines for its decode engines, and never the last of a zone.
-func toPrefill(zones []*zone) *directory.Endpoint {
+// switchToPrefill selects a decode engine from the zone with the fewest prefill engines
+// per decode engine, but not a zone's last one.
+func switchToPrefill(zones []*zone) *directory.Endpoint {
 	from := slices.MinFunc(zones, func(a, b *zone) int { return cmp.Compare(a.ratio(), b.ratio()) })
-	if from.decode < 2 || len(from.mayPrefill) == 0 {
+	if from.decode < 2 || len(from.prefillCandidates) == 0 {
 		return nil
 	}
 	from.decode--
 	from.prefill++
-	return take(&from.mayPrefill)
+	return takeLowest(&from.prefillCandidates)
 }
 
-// ratio is prefill engines for each decode engine; a zone with fewer than two
-// prefill engines has none to give.
+// ratio is the number of prefill engines per decode engine, infinite without decode
+// engines. A zone with fewer than two prefill engines gives none away, whatever its
+// ratio.
 func (z *zone) ratio() float64 {
 	if z.decode == 0 {
 		return math.Inf(z.prefill - 1)
@@ -260,8 +263,8 @@
 	return float64(z.prefill) / float64(z.decode)
 }
 
-// take removes the engine with the lowest id from list.
-func take(list *[]*directory.Endpoint) *directory.Endpoint {
+// takeLowest removes the engine with the lowest id from list and returns it.
+func takeLowest(list *[]*directory.Endpoint) *directory.Endpoint {
 	e := slices.MinFunc(*list, func(a, b *directory.Endpoint) int { return cmp.Compare(a.ID, b.ID) })
 	*list = slices.DeleteFunc(*list, func(o *directory.Endpoint) bool { return o == e })
 	return e
--- a/internal/staging/policy_test.go
+++ b/internal/staging/policy_test.go
@@ -15,17 +15,16 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// figures of the engines that these tests estimate with.
+// figures are the prior timings of the engines in these tests.
 var figures = pace.Prior{ReadToken: 23400 * time.Nanosecond, Step: 4500 * time.Microsecond}
 
-// engines returns a view with, for each zone, so many prefill and decode
-// engines.
+// engines returns a view with the given numbers of prefill and decode engines per zone.
 func engines(zones ...[2]int) *directory.View {
 	table, err := route.NewTable(route.Document{Version: 1, Services: []route.Service{
 		{Name: "llm", Engine: &route.Engine{Slots: 128, KVTokens: 66_897}}, {Name: "web"},
 	}})
 	if err != nil {
-		panic(err) // the document is this test's own
+		panic(err) // the document is valid
 	}
 	var list []*directory.Endpoint
 	for z, counts := range zones {
@@ -53,15 +52,15 @@
 		name  string
 		view  *directory.View
 		sizes map[string]staging.Sizes
-		want  string // endpoint that is ordered; empty: none
+		want  string // endpoint that gets an order; empty: none
 		stage directory.Stage
 	}{
-		{"one too many read", engines([2]int{2, 1}, [2]int{1, 2}, [2]int{1, 2}), sizes(20, 5200, 780), "z0-1-0", directory.Decode},
-		{"as it should be", engines([2]int{1, 2}, [2]int{1, 2}, [2]int{1, 2}), sizes(20, 5200, 780), "", 0},
-		{"too few seen", engines([2]int{2, 1}, [2]int{1, 2}, [2]int{1, 2}), sizes(5, 5200, 780), "", 0},
+		{"one prefill engine too many", engines([2]int{2, 1}, [2]int{1, 2}, [2]int{1, 2}), sizes(20, 5200, 780), "z0-1-0", directory.Decode},
+		{"right split", engines([2]int{1, 2}, [2]int{1, 2}, [2]int{1, 2}), sizes(20, 5200, 780), "", 0},
+		{"too few requests", engines([2]int{2, 1}, [2]int{1, 2}, [2]int{1, 2}), sizes(5, 5200, 780), "", 0},
 		{"long prompts, short answers", engines([2]int{1, 2}, [2]int{1, 2}, [2]int{1, 2}), sizes(20, 9000, 60), "z0-2-0", directory.Prefill},
-		{"never the last that decodes", engines([2]int{2, 1}), sizes(20, 9000, 10), "", 0},
-		{"never the last that reads", engines([2]int{1, 3}), sizes(20, 100, 4000), "", 0},
+		{"the last decode engine is kept", engines([2]int{2, 1}), sizes(20, 9000, 10), "", 0},
+		{"the last prefill engine is kept", engines([2]int{1, 3}), sizes(20, 100, 4000), "", 0},
 		{"one engine", engines([2]int{1, 0}), sizes(20, 5200, 780), "", 0},
 		{"no engines", engines(), sizes(20, 5200, 780), "", 0},
 	}
@@ -80,22 +79,22 @@
 	}
 }
 
-// An order that is not answered may be carried out much later, so only a sixth
-// of the engines, at least one, may be under orders at any time, none is
-// ordered again before that, and what was right once is not undone.
-func TestOrdersSettle(t *testing.T) {
+// An order without a response may be carried out much later. So at most a sixth of the
+// engines, but at least one, has a pending order at any time, none gets a second order
+// before the first expires, and a reached target is not undone.
+func TestOrdersConverge(t *testing.T) {
 	tests := []struct {
-		name    string
-		view    *directory.View
-		atOnce  int // orders under way at most
-		orders  int // in all
-		settled clock.Millis
+		name       string
+		view       *directory.View
+		maxPending int
+		orders     int // total
+		settled    clock.Millis
 	}{
 		{"18 engines", engines([2]int{4, 2}, [2]int{4, 2}, [2]int{4, 2}), 3, 6, 20_000},
 		{"9 engines", engines([2]int{2, 1}, [2]int{2, 1}, [2]int{2, 1}), 1, 3, 40_000},
-		// The grown couriers' day began with 49 of 140 reading, wanted 34, or 36
-		// as far as 200 requests tell.
-		{"140 engines", sized(engines([2]int{13, 22}, [2]int{12, 23}, [2]int{12, 23}, [2]int{12, 23}), 16, 45_026), 23, 13, 1_000},
+		// 49 of 140 engines prefill at the start; 34 should, or 36 given the
+		// uncertainty after 200 requests.
+		{"140 engines", withCapacity(engines([2]int{13, 22}, [2]int{12, 23}, [2]int{12, 23}, [2]int{12, 23}), 16, 45_026), 23, 13, 1_000},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -106,18 +105,18 @@
 			for now := clock.Millis(1000); now < 200_000; now += 500 {
 				for _, o := range p.Decide(now, test.view, sizes(200, 5200, 780), pace.New(figures)) {
 					before, again := last[o.Endpoint.ID]
-					c.Assert(!again || now.Sub(before) >= settle, qt.IsTrue)
+					c.Assert(!again || now.Sub(before) >= maxOrderTime, qt.IsTrue)
 					last[o.Endpoint.ID] = now
 					given = append(given, now)
 					o.Endpoint.Stage = o.Stage
 				}
-				underWay := 0
+				pending := 0
 				for _, at := range given {
-					if now.Sub(at) < settle {
-						underWay++
+					if now.Sub(at) < maxOrderTime {
+						pending++
 					}
 				}
-				c.Assert(underWay <= test.atOnce, qt.IsTrue, qt.Commentf("%d at %d", underWay, now))
+				c.Assert(pending <= test.maxPending, qt.IsTrue, qt.Commentf("%d pending at %d", pending, now))
 			}
 			c.Assert(given, qt.HasLen, test.orders)
 			c.Assert(given[len(given)-1] <= test.settled, qt.IsTrue, qt.Commentf("last at %d", given[len(given)-1]))
@@ -125,18 +124,17 @@
 	}
 }
 
-// sized gives the engines of a view so many slots and so much memory.
-func sized(v *directory.View, slots, tokens int) *directory.View {
+// withCapacity sets the slots and the memory of a view's engines.
+func withCapacity(v *directory.View, slots, tokens int) *directory.View {
 	e := v.Table.Service("llm").Engine
 	e.Slots, e.KVTokens = slots, tokens
 	return v
 }
 
-// settle is how long an order may be under way.
-const settle = 13 * time.Second
+// maxOrderTime is how long an order may be pending.
+const maxOrderTime = 13 * time.Second
 
-// Engines that do not do as they were told are not forgotten: the split is
-// looked at anew when their orders can no longer be carried out.
+// Orders that engines do not carry out are decided again when they expire.
 func TestUnansweredOrdersAreRepeated(t *testing.T) {
 	c := qt.New(t)
 	p := staging.NewPolicy()
@@ -150,33 +148,32 @@
 	c.Assert(at, qt.DeepEquals, []clock.Millis{1000, 14_000, 27_000})
 }
 
-// The first few requests say little, and what is ordered too much takes an
-// engine's six seconds twice (couriers, trouble-2: after ten requests seven
-// engines that read became four, where five were wanted, and prompts waited
-// until 30 s).
-func TestFewRequestsMoveFew(t *testing.T) {
+// The first requests say little about later ones, and an engine that is changed
+// needlessly loses six seconds twice. In one run seven prefill engines became four after
+// ten requests, where five were needed, and prompts were delayed until 30 s.
+func TestFewRequestsChangeFew(t *testing.T) {
 	tests := []struct {
 		name     string
 		requests int
-		output   int // of those seen; 780 would want five to read, 1,100 four
+		output   int // of the observed requests; 780 would need five prefill engines, 1,100 four
 		orders   int
 	}{
-		{"few, far off", 10, 1100, 2},
-		{"few, off", 10, 780, 1},
-		{"many, off", 200, 780, 2},
-		{"many, far off", 200, 1100, 3},
+		{"few, large deviation", 10, 1100, 2},
+		{"few, deviation", 10, 780, 1},
+		{"many, deviation", 200, 780, 2},
+		{"many, large deviation", 200, 1100, 3},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			v := sized(engines([2]int{3, 3}, [2]int{2, 4}, [2]int{2, 4}), 128, 53_213)
+			v := withCapacity(engines([2]int{3, 3}, [2]int{2, 4}, [2]int{2, 4}), 128, 53_213)
 			orders := staging.NewPolicy().Decide(1000, v, sizes(test.requests, 5200, test.output), pace.New(figures))
 			qt.Assert(t, orders, qt.HasLen, test.orders)
 		})
 	}
 }
 
-// Sizes that vary from request to request do not move engines to and fro.
-func TestVaryingSizesMoveNothing(t *testing.T) {
+// Sizes that vary between requests do not make engines change back and forth.
+func TestVaryingSizesChangeLittle(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	v := engines([2]int{12, 24}, [2]int{12, 24}, [2]int{11, 25}, [2]int{11, 25})
 	p := staging.NewPolicy()
@@ -194,23 +191,23 @@
 	qt.Assert(t, orders <= 4, qt.IsTrue, qt.Commentf("%d orders", orders))
 }
 
-// Where slots run out before memory, they say how many decode together.
-func TestSlotsBound(t *testing.T) {
-	v := sized(engines([2]int{2, 2}, [2]int{2, 2}, [2]int{2, 2}), 4, 66_897)
+// If slots run out before memory, they limit how many requests decode together.
+func TestSlotLimit(t *testing.T) {
+	v := withCapacity(engines([2]int{2, 2}, [2]int{2, 2}, [2]int{2, 2}), 4, 66_897)
 	orders := staging.NewPolicy().Decide(1000, v, sizes(50, 200, 780), pace.New(figures))
 	qt.Assert(t, orders, qt.HasLen, 2)
 	qt.Assert(t, orders[0].Stage, qt.Equals, directory.Decode)
 }
 
-// An order that was put off does not count as given: it is decided again.
-func TestOrdersPutOffAreDecidedAgain(t *testing.T) {
+// An order that was withdrawn is not pending: it is decided again.
+func TestWithdrawnOrdersAreRepeated(t *testing.T) {
 	c := qt.New(t)
 	p, v := staging.NewPolicy(), engines([2]int{2, 1}, [2]int{1, 2}, [2]int{1, 2})
 	seen, paces := sizes(20, 5200, 780), pace.New(figures)
 	first := p.Decide(1000, v, seen, paces)
 	c.Assert(first, qt.HasLen, 1)
-	c.Assert(p.Decide(2000, v, seen, paces), qt.HasLen, 0) // it is under way
-	p.PutOff(first[0])
+	c.Assert(p.Decide(2000, v, seen, paces), qt.HasLen, 0) // the order is pending
+	p.Withdraw(first[0])
 	again := p.Decide(3000, v, seen, paces)
 	c.Assert(again, qt.HasLen, 1)
 	c.Assert(again[0].Endpoint.ID, qt.Equals, first[0].Endpoint.ID)
--- a/internal/staging/runner.go
+++ b/internal/staging/runner.go
@@ -17,25 +17,25 @@
 )
 
 const (
-	// decideEvery is how often the split is looked at.
-	decideEvery = time.Second
-	// orderWait bounds one order.
-	orderWait = 800 * time.Millisecond
+	// decideInterval is how often the split is checked.
+	decideInterval = time.Second
+	// orderTimeout bounds sending one order.
+	orderTimeout = 800 * time.Millisecond
 )
 
-// Runner lets the holder of the duty give orders.
+// Runner sends the policy's orders while this instance is the leader.
 type Runner struct {
 	Directory  *directory.Directory
 	Leadership *leadership.Leadership
-	// Send gives an order; fence is the holder's.
+	// Send sends an order with the leader's name and fencing token.
 	Send func(ctx context.Context, o Order, holder string, fence int64) error
-	// Spared says whether an engine is to be left alone now: it gets no order.
+	// Spared reports whether an engine must be avoided now, so that it gets no order.
 	Spared func(ctx context.Context, e *directory.Endpoint) bool
-	// Closed is told of an engine that takes nothing until it has changed.
+	// Closed is called for an engine that accepts no requests until it has changed.
 	Closed func(o Order)
 	Log    *eventlog.Log
 	Scope  tally.Scope
-	// Paces is how fast engines are seen to work.
+	// Paces is the model of engine timings.
 	Paces *pace.Model
 	Now   func() clock.Millis
 
@@ -43,7 +43,7 @@
 	sizes map[string]Sizes
 }
 
-// Saw takes a request's sizes.
+// Saw adds the sizes of a request.
 func (r *Runner) Saw(service string, prompt, output int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -55,10 +55,10 @@
 	r.sizes[service] = s
 }
 
-// Run decides until ctx ends.
+// Run decides and sends orders until ctx ends.
 func (r *Runner) Run(ctx context.Context) {
 	policy := NewPolicy()
-	ticker.Every(ctx, decideEvery, func() { r.step(ctx, policy) })
+	ticker.Every(ctx, decideInterval, func() { r.step(ctx, policy) })
 }
 
 func (r *Runner) step(ctx context.Context, policy *Policy) {
@@ -69,28 +69,29 @@
 	r.mu.Lock()
 	sizes := maps.Clone(r.sizes)
 	r.mu.Unlock()
-	r.give(ctx, policy, policy.Decide(r.Now(), r.Directory.View(), sizes, r.Paces), fence)
+	r.send(ctx, policy, policy.Decide(r.Now(), r.Directory.View(), sizes, r.Paces), fence)
 }
 
-// give gives orders. One to an engine that is to be left alone is put off, and decided
-// again a second later: counted as given it would be missing for as long as a change takes.
-func (r *Runner) give(ctx context.Context, policy *Policy, orders []Order, fence int64) {
+// send sends orders. An order to an engine that must be avoided is withdrawn and
+// decided again a second later: if it stayed pending, it would be missing for the
+// duration of a stage change.
+func (r *Runner) send(ctx context.Context, policy *Policy, orders []Order, fence int64) {
 	var group sync.WaitGroup
 	for _, o := range orders {
 		if r.Spared(ctx, o.Endpoint) {
 			r.Scope.Counter("orders_put_off").Inc(1)
-			policy.PutOff(o)
+			policy.Withdraw(o)
 			continue
 		}
-		group.Go(func() { r.order(ctx, o, fence) })
+		group.Go(func() { r.sendOrder(ctx, o, fence) })
 	}
 	group.Wait()
 }
 
-// order gives one order.
-func (r *Runner) order(ctx context.Context, o Order, fence int64) {
+// sendOrder sends one order and logs it.
+func (r *Runner) sendOrder(ctx context.Context, o Order, fence int64) {
 	r.Closed(o)
-	ctx, cancel := context.WithTimeout(ctx, orderWait)
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	err := r.Send(ctx, o, r.Leadership.Name, fence)
 	n := eventlog.Line{Event: eventlog.Ordered, Endpoint: o.Endpoint.ID, Service: o.Endpoint.Service, Zone: o.Endpoint.Zone, Outcome: stageName(o.Stage), Revision: fence, Count: int64(o.Present)}
--- a/internal/staging/runner_test.go
+++ b/internal/staging/runner_test.go
@@ -13,9 +13,8 @@
 	"github.com/trailshed/trailshed/internal/leadership"
 )
 
-// An engine that is to be left alone gets no order, and no planner is told that it
-// changes.
-func TestNoOrdersToSparedEngines(t *testing.T) {
+// An engine that must be avoided gets no order, and Closed is not called for it.
+func TestNoOrdersToAvoidedEngines(t *testing.T) {
 	for _, spared := range []bool{true, false} {
 		c := qt.New(t)
 		sent, closed := 0, 0
@@ -28,15 +27,15 @@
 		}
 		o := Order{Endpoint: &directory.Endpoint{ID: "p1"}, Stage: directory.Decode}
 		p := NewPolicy()
-		p.ordered["p1"] = ordered{stage: directory.Decode, until: 1_000_000}
-		r.give(t.Context(), p, []Order{o}, 1)
+		p.pending["p1"] = pendingOrder{stage: directory.Decode, until: 1_000_000}
+		r.send(t.Context(), p, []Order{o}, 1)
 		want := 1
 		if spared {
 			want = 0
 		}
 		c.Check(sent, qt.Equals, want)
 		c.Check(closed, qt.Equals, want)
-		c.Check(p.ordered, qt.HasLen, want) // under way
+		c.Check(p.pending, qt.HasLen, want) // pending
 		c.Check(log.Close(), qt.IsNil)
 	}
 }
