--- a/internal/balance/balancer.go
+++ b/internal/balance/balancer.go
@@ -1,6 +1,6 @@
-// Package balance chooses endpoints. It knows each endpoint by the requests
-// that this instance has there, the load that answers tell, and how recent
-// requests ended; it shares nothing with other instances.
+// Package balance chooses endpoints. It knows each endpoint by the requests of this
+// instance there, the load that answers report, and the results of recent requests. It
+// shares nothing with other instances.
 package balance
 
 import (
@@ -16,52 +16,54 @@
 )
 
 const (
-	// loadAge is how long an endpoint's load report is believed.
-	loadAge = 1500 * time.Millisecond
-	// zonePenalty is added to the predicted wait at endpoints of other zones:
-	// it outweighs the 3 ms round trip because bytes between zones cost, and
-	// cut links strike there.
+	// maxLoadAge is how long an endpoint's load report is used.
+	maxLoadAge = 1500 * time.Millisecond
+	// zonePenalty is added to the predicted wait at endpoints of other zones. It
+	// exceeds the 3 ms round trip because traffic between zones is charged, and is
+	// affected when links between zones fail.
 	zonePenalty = 40.0 // ms
-	// regionPenalty is added besides at endpoints of other regions: the way there is
-	// several times as long, and bytes cost more.
+	// regionPenalty is added as well at endpoints of other regions: the round trip is
+	// several times as long, and traffic costs more.
 	regionPenalty = 40.0 // ms
-	// ejectBase doubles with each ejection in a row, up to ejectMost.
-	ejectBase = time.Second
-	ejectMost = 8 * time.Second
-	// failureWeight is the weight of one result in the running failure rate;
-	// half of a rate is forgotten in about four results.
+	// initialEjection doubles with each consecutive ejection, up to maxEjection.
+	initialEjection = time.Second
+	maxEjection     = 8 * time.Second
+	// failureWeight is the weight of one result in the moving averages; its half-life
+	// is about four results.
 	failureWeight = 0.15
-	// ejectRate is the failure rate at which an endpoint is ejected. Some
-	// kinds fail by themselves (one in seven); four failures of five reach it.
-	ejectRate = 0.45
-	// probePause is the least time between two requests to an endpoint that
-	// could not be reached, while it is ejected: a silent address costs each of
-	// them the whole time-out of a dial, and then a refusal that comes late.
-	probePause = 400 * time.Millisecond
-	// startWork is the assumed work of one request before any was measured.
-	startWork = 60.0 // ms
+	// ejectFailureRate is the failure rate at which an endpoint is ejected. Some types
+	// of endpoints always fail one request in seven; four consecutive failures reach
+	// it from zero.
+	ejectFailureRate = 0.45
+	// minProbeInterval is the minimum time between two requests to an ejected endpoint
+	// that was unreachable: if it drops packets, each request takes the whole dial
+	// timeout and is then refused late.
+	minProbeInterval = 400 * time.Millisecond
+	// initialWork is the assumed time of a request before any was measured.
+	initialWork = 60.0 // ms
 )
 
-// Ask is what a request wants.
+// Ask describes the endpoints that a request may use.
 type Ask struct {
 	Service string
 	Stage   directory.Stage
 	Exclude []string // ids of endpoints already tried
 	Area    residency.Area
-	// Withheld are endpoints that may get no such request for a while, by id.
+	// Withheld lists endpoints that must not be used for now, by id, with the time
+	// left.
 	Withheld map[string]time.Duration
 }
 
-// Result is how a send ended.
+// Result is the outcome of a request at an endpoint.
 type Result int
 
-// Results of a send.
+// The values of Result.
 const (
-	Good        Result = iota // an answer, whatever its status
+	Good        Result = iota // an answer with any status
 	Failed                    // a failure that another endpoint might not have had
-	Rejected                  // the endpoint said that it did not run the request
+	Rejected                  // the endpoint reported that it did not run the request
 	Unreachable               // no connection
-	Abandoned                 // we ended it; says nothing about the endpoint
+	Abandoned                 // canceled on this side; says nothing about the endpoint
 )
 
 // Load is an endpoint's load report.
@@ -69,64 +71,65 @@
 	Running, Waiting, Slots int
 }
 
-// Balancer is the table of endpoints. Lock order: its own lock, then that of rests.
+// Balancer tracks endpoints and chooses among them. Lock order: mu, then the lock of
+// backoffs.
 type Balancer struct {
 	zone string
-	// regions has the region of each zone.
-	regions map[string]string
-	rests   *notice.Table[string] // who wants no requests, by id
-	mu      sync.Mutex
-	byID    map[string]*state
+	// regions maps zones to their regions.
+	regions  map[string]string
+	backoffs *notice.Table[string] // endpoints that asked for no requests, by id
+	mu       sync.Mutex
+	states   map[string]*state
 }
 
 type state struct {
-	running  int // requests of this instance
-	load     Load
-	loadAt   clock.Millis
-	work     float64 // running mean of a request's time, ms
-	failures float64 // running rate of failures
-	row      int     // ejections in a row
-	ejected  clock.Millis
-	usedAt   clock.Millis
-	silent   bool // it could not be reached the last time
+	running      int // requests of this instance
+	load         Load
+	loadAt       clock.Millis
+	work         float64 // moving average of a request's time, ms
+	failureRate  float64 // moving average of failures, 0 to 1
+	ejections    int     // consecutive, at most 3
+	ejectedUntil clock.Millis
+	usedAt       clock.Millis
+	unreachable  bool // the last request could not connect
 }
 
-// New returns a balancer for an instance of zone; regions has the region of each zone.
+// New returns a balancer for an instance in zone; regions maps zones to their regions.
 func New(zone string, regions map[string]string) *Balancer {
-	return &Balancer{zone: zone, regions: regions, rests: notice.NewTable[string](0), byID: map[string]*state{}}
+	return &Balancer{zone: zone, regions: regions, backoffs: notice.NewTable[string](0), states: map[string]*state{}}
 }
 
-// Reservation is a request's place at an endpoint, until Done.
+// Reservation counts a request at an endpoint until Done.
 type Reservation struct {
 	Endpoint *directory.Endpoint
 	balancer *Balancer
-	began    clock.Millis
+	start    clock.Millis
 	done     bool
 }
 
-// Reserve picks the endpoint with the least predicted wait. Ejected endpoints
-// are taken only if no other is left, those that rest never. It returns nil if there
-// is none at all.
-func (b *Balancer) Reserve(now clock.Millis, view *directory.View, a Ask) *Reservation {
+// Reserve chooses the endpoint with the shortest predicted wait. Ejected endpoints are
+// used only if there are no others, and endpoints in backoff never. It returns nil if
+// there is none.
+func (b *Balancer) Reserve(now clock.Millis, view *directory.View, req Ask) *Reservation {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var best *directory.Endpoint
 	bestScore, bestEjected := 0.0, true
-	resting, ties := b.rests.All(now), 0
-	for e := range view.Service(a.Service) {
-		if !a.fits(e) || slices.Contains(resting, e.ID) || a.Withheld[e.ID] > 0 {
+	backedOff, ties := b.backoffs.All(now), 0
+	for e := range view.Service(req.Service) {
+		if !req.fits(e) || slices.Contains(backedOff, e.ID) || req.Withheld[e.ID] > 0 {
 			continue
 		}
-		s := b.known(e.ID)
-		if s.silent && now < s.ejected && now.Sub(s.usedAt) < probePause {
-			continue // one request at a time finds out whether it is back
+		s := b.stateOrDefault(e.ID)
+		if s.unreachable && now < s.ejectedUntil && now.Sub(s.usedAt) < minProbeInterval {
+			continue // a single request probes whether it is back
 		}
-		score, out := b.score(now, e, s), now < s.ejected
+		score, ejected := b.score(now, e, s), now < s.ejectedUntil
 		switch {
-		case best == nil || bestEjected && !out || bestEjected == out && score < bestScore:
-			best, bestScore, bestEjected, ties = e, score, out, 1
-		case bestEjected == out && score == bestScore:
-			if ties++; rand.IntN(ties) == 0 { // each of those that are equal is as likely
+		case best == nil || bestEjected && !ejected || bestEjected == ejected && score < bestScore:
+			best, bestScore, bestEjected, ties = e, score, ejected, 1
+		case bestEjected == ejected && score == bestScore:
+			if ties++; rand.IntN(ties) == 0 { // choose uniformly among equals
 				best = e
 			}
 		}
@@ -134,76 +137,77 @@
 	if best == nil {
 		return nil
 	}
-	return b.reserve(now, best)
+	return b.newReservation(now, best)
 }
 
-// ReserveAt takes a place at an endpoint that was chosen elsewhere. It returns nil if
-// the endpoint rests.
+// ReserveAt reserves an endpoint that was chosen elsewhere. It returns nil if the
+// endpoint is in backoff.
 func (b *Balancer) ReserveAt(now clock.Millis, e *directory.Endpoint) *Reservation {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.rests.Closed(now, e.ID) {
+	if b.backoffs.Closed(now, e.ID) {
 		return nil
 	}
-	return b.reserve(now, e)
+	return b.newReservation(now, e)
 }
 
-// Resting returns the ids of the endpoints that rest now.
-func (b *Balancer) Resting(now clock.Millis) []string { return b.rests.All(now) }
+// Resting returns the ids of the endpoints in backoff.
+func (b *Balancer) Resting(now clock.Millis) []string { return b.backoffs.All(now) }
 
-// Rests says whether an endpoint rests now.
-func (b *Balancer) Rests(now clock.Millis, id string) bool { return b.rests.Closed(now, id) }
+// Rests reports whether an endpoint is in backoff.
+func (b *Balancer) Rests(now clock.Millis, id string) bool { return b.backoffs.Closed(now, id) }
 
-// RestsFor is how long until the first of the endpoints that an ask fits may be used, if
-// all of them rest or are withheld now, and whether that one is withheld; else it is 0.
-func (b *Balancer) RestsFor(now clock.Millis, view *directory.View, a Ask) (least time.Duration, withheld bool) {
+// RestsFor returns how long until the first of the endpoints for a request may be used,
+// and whether that one is withheld, provided that all of them are in backoff or
+// withheld; otherwise it returns 0.
+func (b *Balancer) RestsFor(now clock.Millis, view *directory.View, req Ask) (least time.Duration, withheld bool) {
 	found := false
-	for e := range view.Service(a.Service) {
-		if !a.fits(e) {
+	for e := range view.Service(req.Service) {
+		if !req.fits(e) {
 			continue
 		}
-		rest := b.rests.Left(now, e.ID)
-		if rest <= 0 && a.Withheld[e.ID] <= 0 {
+		backoff := b.backoffs.Left(now, e.ID)
+		if backoff <= 0 && req.Withheld[e.ID] <= 0 {
 			return 0, false
 		}
-		if left := max(rest, a.Withheld[e.ID]); !found || left < least {
-			least, found, withheld = left, true, left > rest
+		if left := max(backoff, req.Withheld[e.ID]); !found || left < least {
+			least, found, withheld = left, true, left > backoff
 		}
 	}
 	return least, withheld
 }
 
-// Ejected returns the ids of the endpoints that are ejected now.
+// Ejected returns the ids of the ejected endpoints.
 func (b *Balancer) Ejected(now clock.Millis) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var ids []string
-	for id, s := range b.byID {
-		if now < s.ejected {
+	for id, s := range b.states {
+		if now < s.ejectedUntil {
 			ids = append(ids, id)
 		}
 	}
 	return ids
 }
 
-func (b *Balancer) reserve(now clock.Millis, e *directory.Endpoint) *Reservation {
+func (b *Balancer) newReservation(now clock.Millis, e *directory.Endpoint) *Reservation {
 	s := b.state(e.ID)
 	s.running++
 	s.usedAt = now
-	return &Reservation{Endpoint: e, balancer: b, began: now}
+	return &Reservation{Endpoint: e, balancer: b, start: now}
 }
 
 // score predicts the wait at an endpoint in ms.
 func (b *Balancer) score(now clock.Millis, e *directory.Endpoint, s *state) float64 {
 	running, waiting := s.running, 0
-	if now.Sub(s.loadAt) < loadAge {
+	if now.Sub(s.loadAt) < maxLoadAge {
 		running = max(running, s.load.Running)
 		waiting = s.load.Waiting
 	}
 	slots := max(e.Slots, 1)
 	score := s.work * float64(waiting) / float64(slots)
 	score += s.work * float64(max(running+1-slots, 0)) / float64(slots)
-	score += s.work * float64(running) / float64(slots) / 4 // spreads what fits
+	score += s.work * float64(running) / float64(slots) / 4 // spreads requests that fit into the slots
 	if e.Zone != b.zone {
 		score += zonePenalty
 	}
@@ -213,28 +217,28 @@
 	return score
 }
 
-// untried is the state of an endpoint to which this instance has sent nothing.
-var untried = state{work: startWork}
+// defaultState is the state of an endpoint to which this instance has sent nothing.
+var defaultState = state{work: initialWork}
 
-// known is what is known of an endpoint. Only what is used gets a state of its own: a
-// look at all endpoints of a large fleet leaves nothing behind.
-func (b *Balancer) known(id string) *state {
-	if s := b.byID[id]; s != nil {
+// stateOrDefault returns an endpoint's state. It creates none, so that checking all
+// endpoints of a large fleet uses no memory; only used endpoints have a state.
+func (b *Balancer) stateOrDefault(id string) *state {
+	if s := b.states[id]; s != nil {
 		return s
 	}
-	return &untried
+	return &defaultState
 }
 
 func (b *Balancer) state(id string) *state {
-	s := b.byID[id]
+	s := b.states[id]
 	if s == nil {
-		s = &state{work: startWork}
-		b.byID[id] = s
+		s = &state{work: initialWork}
+		b.states[id] = s
 	}
 	return s
 }
 
-// Told takes the load that an answer tells.
+// Told records the load that an answer reports.
 func (r *Reservation) Told(now clock.Millis, l Load) {
 	r.balancer.mu.Lock()
 	defer r.balancer.mu.Unlock()
@@ -242,16 +246,16 @@
 	s.load, s.loadAt = l, now
 }
 
-// Rest takes an endpoint's word that it wants no request for so long. It returns
-// false if that is known already. A request that is turned away counts neither as a
-// failure nor as load: without this, an endpoint that turns all away looks like the best
-// one to each next request, and second sends spend the retry allowance.
-func (b *Balancer) Rest(now clock.Millis, id string, length time.Duration) (news bool) {
-	return b.rests.Take(now, id, notice.Notice{Rest: length})
+// Rest records an endpoint's notice that it wants no requests for a time. It returns
+// false if that was known already. A rejected request counts neither as a failure nor
+// as load. Without the backoff, an endpoint that rejects everything looks like the best
+// one to each new request, and retries use up the retry budget.
+func (b *Balancer) Rest(now clock.Millis, id string, length time.Duration) (changed bool) {
+	return b.backoffs.Take(now, id, notice.Notice{Rest: length})
 }
 
-// Done gives the place back and learns from the result. It returns how long
-// the endpoint is ejected for, 0 if it is not ejected now.
+// Done ends the reservation and records the result. If the result ejects the endpoint,
+// it returns for how long, otherwise 0.
 func (r *Reservation) Done(now clock.Millis, result Result) time.Duration {
 	b := r.balancer
 	b.mu.Lock()
@@ -264,55 +268,55 @@
 	s.running--
 	switch result {
 	case Good:
-		s.silent = false
-		s.failures *= 1 - failureWeight
-		s.work += (float64(now.Sub(r.began).Milliseconds()) - s.work) * failureWeight
-		s.row = 0
+		s.unreachable = false
+		s.failureRate *= 1 - failureWeight
+		s.work += (float64(now.Sub(r.start).Milliseconds()) - s.work) * failureWeight
+		s.ejections = 0
 	case Failed:
-		s.failures += (1 - s.failures) * failureWeight
-		if s.failures >= ejectRate {
+		s.failureRate += (1 - s.failureRate) * failureWeight
+		if s.failureRate >= ejectFailureRate {
 			return s.eject(now)
 		}
 	case Unreachable:
-		s.silent = true
+		s.unreachable = true
 		return s.eject(now)
 	case Rejected:
-		s.silent = false
+		s.unreachable = false
 	case Abandoned:
 	}
 	return 0
 }
 
 func (s *state) eject(now clock.Millis) time.Duration {
-	if now < s.ejected {
-		return 0 // it was ejected while this request was there
+	if now < s.ejectedUntil {
+		return 0 // ejected while this request was running
 	}
-	length := min(ejectBase<<s.row, ejectMost)
-	s.row = min(s.row+1, 3)
-	s.ejected = now.Add(length)
-	s.failures = ejectRate / 2 // one more failure in a few ejects again
+	length := min(initialEjection<<s.ejections, maxEjection)
+	s.ejections = min(s.ejections+1, 3)
+	s.ejectedUntil = now.Add(length)
+	s.failureRate = ejectFailureRate / 2 // a few more failures eject it again
 	return length
 }
 
-// Forget drops endpoints that the view no longer holds and nothing uses. What one
-// asked for outlasts a listing that lacks it.
+// Forget drops the state of unused endpoints that are not in the view. Backoffs are
+// kept, in case the view lacks an endpoint only temporarily.
 func (b *Balancer) Forget(view *directory.View) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for id, s := range b.byID {
+	for id, s := range b.states {
 		if s.running == 0 && view.Find(id) == nil {
-			delete(b.byID, id)
+			delete(b.states, id)
 		}
 	}
 }
 
-// plays says whether an endpoint takes requests of a stage; it turns away those
+// servesStage reports whether an endpoint accepts requests of a stage; it rejects those
 // of the other one.
-func plays(e *directory.Endpoint, s directory.Stage) bool {
+func servesStage(e *directory.Endpoint, s directory.Stage) bool {
 	return e.Stage == s || e.Stage == directory.Whole && s == directory.Decode
 }
 
-// fits says whether an endpoint may ever be used for what is asked.
-func (a Ask) fits(e *directory.Endpoint) bool {
-	return e.State == directory.Ready && plays(e, a.Stage) && a.Area.Allows(e.Zone) && !slices.Contains(a.Exclude, e.ID)
+// fits reports whether the request may use the endpoint, regardless of its state here.
+func (req Ask) fits(e *directory.Endpoint) bool {
+	return e.State == directory.Ready && servesStage(e, req.Stage) && req.Area.Allows(e.Zone) && !slices.Contains(req.Exclude, e.ID)
 }
--- a/internal/balance/balancer_test.go
+++ b/internal/balance/balancer_test.go
@@ -29,15 +29,15 @@
 		name    string
 		view    *directory.View
 		exclude []string
-		before  int // reservations held already
+		before  int // existing reservations
 		want    string
 	}{
 		{"own zone first", view(far, near), nil, 0, "near"},
 		{"other zone when excluded", view(far, near), []string{"near"}, 0, "far"},
 		{"other zone when the own is full", view(far, near), nil, 4, "far"},
-		{"nothing that leaves", view(leaving, far), nil, 0, "far"},
+		{"no draining endpoint", view(leaving, far), nil, 0, "far"},
 		{"no prefill engine", view(reader, far), nil, 0, "far"},
-		{"nothing at all", view(leaving, reader), nil, 0, ""},
+		{"no endpoint at all", view(leaving, reader), nil, 0, ""},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -55,7 +55,7 @@
 	}
 }
 
-// An endpoint that fails is left alone for a while, and used if none else is.
+// An endpoint that fails is ejected for a time, and used if there is no other.
 func TestEjection(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -64,10 +64,10 @@
 	}{
 		{"unreachable once", []balance.Result{balance.Unreachable}, true},
 		{"failed once", []balance.Result{balance.Failed}, false},
-		{"failed again and again", repeat(balance.Failed, 5), true},
-		{"rejected again and again", repeat(balance.Rejected, 9), false},
-		{"fails one in seven by nature", append(repeat(balance.Good, 6), balance.Failed, balance.Good, balance.Failed), false},
-		{"left by callers", repeat(balance.Abandoned, 9), false},
+		{"failed repeatedly", repeat(balance.Failed, 5), true},
+		{"rejected repeatedly", repeat(balance.Rejected, 9), false},
+		{"always fails one in seven", append(repeat(balance.Good, 6), balance.Failed, balance.Good, balance.Failed), false},
+		{"canceled by callers", repeat(balance.Abandoned, 9), false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -91,9 +91,9 @@
 	}
 }
 
-// Where no endpoint can be reached, one request at a time finds out; the others
-// are refused at once instead of waiting for a dial (incident inc-1404).
-func TestSilentEndpointsAreProbed(t *testing.T) {
+// If no endpoint is reachable, one request at a time probes; the others are refused at
+// once instead of waiting for a dial timeout.
+func TestUnreachableEndpointsAreProbed(t *testing.T) {
 	c := qt.New(t)
 	b := balance.New("a", nil)
 	only := view(directory.Endpoint{ID: "e1", Zone: "a", Slots: 2})
@@ -115,16 +115,16 @@
 	return list
 }
 
-// An endpoint that wants no requests gets none until that is over, also where nothing
-// else is left, and also if its entry is gone and back meanwhile.
-func TestRest(t *testing.T) {
+// An endpoint that wants no requests gets none until its backoff ends, even if there is
+// no other endpoint, and even if it leaves the view and returns meanwhile.
+func TestBackoff(t *testing.T) {
 	c := qt.New(t)
 	near := directory.Endpoint{ID: "near", Zone: "a", Slots: 2, Service: "web"}
 	far := directory.Endpoint{ID: "far", Zone: "b", Slots: 2}
 	b := balance.New("a", nil)
 	ask := balance.Ask{Service: "web", Stage: directory.Decode}
 	c.Assert(b.Rest(1000, "near", 3*time.Second), qt.IsTrue)
-	c.Assert(b.Rest(1500, "near", time.Second), qt.IsFalse) // sooner than it said before
+	c.Assert(b.Rest(1500, "near", time.Second), qt.IsFalse) // ends before the known backoff
 	c.Assert(b.Reserve(1501, view(near, far), ask).Endpoint.ID, qt.Equals, "far")
 	c.Assert(b.Reserve(1501, view(near), ask), qt.IsNil)
 	c.Assert(b.ReserveAt(1501, &near), qt.IsNil)
@@ -132,7 +132,7 @@
 	for _, test := range []struct {
 		view     *directory.View
 		withheld map[string]time.Duration
-		rest     time.Duration
+		backoff  time.Duration
 		limited  bool
 	}{
 		{view(near), nil, 2500 * time.Millisecond, false},
@@ -142,8 +142,8 @@
 	} {
 		withheld := ask
 		withheld.Withheld = test.withheld
-		rest, limited := b.RestsFor(1500, test.view, withheld)
-		c.Check(rest, qt.Equals, test.rest)
+		backoff, limited := b.RestsFor(1500, test.view, withheld)
+		c.Check(backoff, qt.Equals, test.backoff)
 		c.Check(limited, qt.Equals, test.limited)
 	}
 	b.Forget(view(far))
@@ -153,8 +153,8 @@
 	c.Assert(b.Rest(4000, "near", time.Second), qt.IsTrue)
 }
 
-// A request goes to its own zone, then to another one of its region, and leaves the region
-// when both have more to do than the way is long.
+// A request goes to its own zone, then to another zone of its region, and leaves the
+// region when the wait in both exceeds the penalty of the distance.
 func TestOwnRegionFirst(t *testing.T) {
 	regions := map[string]string{"a": "north", "b": "north", "c": "south"}
 	endpoints := []directory.Endpoint{{ID: "e-a", Zone: "a", Slots: 1}, {ID: "e-b", Zone: "b", Slots: 1}, {ID: "e-c", Zone: "c", Slots: 1}}
