--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -1,6 +1,6 @@
-// Package admission admits the requests of one instance by what it last heard of
-// their workspaces' limits, and reports what was asked and what ran. Decisions are
-// pure: the caller gives the time.
+// Package admission admits requests of one instance according to the latest update on
+// their workspaces' limits, and reports requested and executed units. Decisions are
+// pure: the caller passes the time.
 package admission
 
 import (
@@ -13,193 +13,198 @@
 )
 
 const (
-	// silence is how long a gate trusts the last word of a ledger, which comes at
-	// least every 400 ms; one may be lost.
-	silence = 1000 * time.Millisecond
-	// nearSilence is the same for a workspace that is near its limit, of which words
-	// come every 100 ms: one that sends many times its usual spends in a second
-	// what its limit allows in several.
-	nearSilence = 400 * time.Millisecond
-	// youth is how long a gate that has heard no ledger yet admits a first request of
-	// each workspace, and more by youngTimes the instance's part: where all instances
-	// have started at once they find each other within a second, and refusals in that
-	// time would come on top of the outage. Without a bound, many that come back
-	// together let all requests pass of a workspace that has spent its limit.
-	youth      = 1500 * time.Millisecond
-	youngTimes = 1.5
-	// partDepth is how long an instance that is alone may save up its part.
-	partDepth = 4 * time.Second
-	// backLeast and backMost bound when refused callers are told to come back.
-	backLeast = 200 * time.Millisecond
-	backMost  = 4 * time.Second
-	// spread is by which part of it that time differs between callers, so that
-	// those who were refused together do not return together.
-	spread = 0.5
+	// ledgerTimeout is how long a gate relies on the latest update of a ledger. Updates
+	// come at least every 400 ms, and one may be lost.
+	ledgerTimeout = 1000 * time.Millisecond
+	// nearLimitTimeout is the same for a workspace near its limit, whose updates come
+	// every 100 ms: one that sends many times its usual rate uses in a second what its
+	// limit allows in several.
+	nearLimitTimeout = 400 * time.Millisecond
+	// startupGrace is how long a gate that has not received any update admits requests
+	// of each workspace: the first one, and then up to startupShareFactor times the
+	// instance's share of the limit. When all instances start at once, they find each
+	// other within a second, and refusals during that time would add to the outage.
+	// Without a bound, many instances that restart together would admit all requests of
+	// a workspace that has used up its limit.
+	startupGrace       = 1500 * time.Millisecond
+	startupShareFactor = 1.5
+	// maxSavingTime bounds how long an isolated instance accumulates its share.
+	maxSavingTime = 4 * time.Second
+	// minRetryAfter and maxRetryAfter bound the retry delay of refused callers, before
+	// jitter.
+	minRetryAfter = 200 * time.Millisecond
+	maxRetryAfter = 4 * time.Second
+	// jitter is the range of the retry delay as a fraction of it, so that callers
+	// refused together do not retry together.
+	jitter = 0.5
 )
 
-// Verdict is what a gate says to a request.
+// Verdict is a gate's decision on a request.
 type Verdict struct {
 	Admitted bool
-	After    time.Duration // when a refused caller may come back
-	Pass     float64       // part of what is asked that is admitted
-	Used     float64       // units that ran within a window in all instances, as last heard
+	After    time.Duration // after which a refused caller may retry
+	Pass     float64       // fraction of requests to admit
+	Used     float64       // units executed within a window by all instances, as of the latest update
 	Limit    quota.Limit
-	Age      time.Duration // of what was last heard
-	Alone    bool          // no ledger was heard: the instance keeps to its own part
+	Age      time.Duration // of the latest update
+	Alone    bool          // no recent update: the instance enforces its own share of the limit
 }
 
-// String tells the inputs of the verdict, for the log.
+// String lists the inputs of the decision, for the log.
 func (v Verdict) String() string {
-	return fmt.Sprintf("used %.0f, limit %.0f a second and %.0f, pass %.2f, alone %t", v.Used, v.Limit.Rate, v.Limit.Burst, v.Pass, v.Alone)
+	return fmt.Sprintf("used %.0f, limit %.0f/s, burst %.0f, pass %.2f, isolated %t", v.Used, v.Limit.Rate, v.Limit.Burst, v.Pass, v.Alone)
 }
 
 // Gate admits requests of one instance. It is not safe for concurrent use.
 type Gate struct {
-	began   clock.Millis
-	heardAt clock.Millis // when a ledger was last heard; 0: never
-	doors   map[string]*door
-	refused int // requests so far, which spreads their return
+	startedAt  clock.Millis
+	updatedAt  clock.Millis // time of the latest update of a ledger; 0: none
+	workspaces map[string]*state
+	refused    int // refused requests so far, from which the jitter is derived
 }
 
-// door is a gate's state for one workspace.
-type door struct {
-	use    quota.Use
-	told   quota.Use
-	pass   float64 // the last word
-	used   float64
-	near   bool
-	credit float64 // requests that may pass: it grows by pass with each
-	part   float64 // units saved up while the instance is alone
-	partAt clock.Millis
+// state holds a gate's data of one workspace.
+type state struct {
+	use        quota.Use
+	reported   quota.Use
+	pass       float64 // fraction of requests to admit, from the latest update
+	used       float64
+	nearLimit  bool
+	credit     float64 // requests that may be admitted; each request adds pass
+	savedShare float64 // units accumulated while the instance is isolated
+	savedAt    clock.Millis
 }
 
-// New returns the gate of an instance that began at a time.
-func New(began clock.Millis) *Gate { return &Gate{began: began, doors: map[string]*door{}} }
+// New returns the gate of an instance that started at a time.
+func New(startedAt clock.Millis) *Gate {
+	return &Gate{startedAt: startedAt, workspaces: map[string]*state{}}
+}
 
-func (g *Gate) door(workspace string) *door {
-	d := g.doors[workspace]
-	if d == nil {
-		d = &door{use: quota.Use{Workspace: workspace}, pass: 1, credit: even(int(g.began) + len(g.doors))}
-		g.doors[workspace] = d
+func (g *Gate) state(workspace string) *state {
+	s := g.workspaces[workspace]
+	if s == nil {
+		s = &state{use: quota.Use{Workspace: workspace}, pass: 1, credit: spreadEvenly(int(g.startedAt) + len(g.workspaces))}
+		g.workspaces[workspace] = s
 	}
-	return d
+	return s
 }
 
-// Admit counts a request of so many units, unless it is refused. instances is how
-// many there are, which divide the limit while they do not hear each other.
+// Admit counts a request of a number of units, unless it is refused. instances is the
+// number of instances among which the limit is divided while there are no updates.
 func (g *Gate) Admit(now clock.Millis, workspace string, l quota.Limit, units float64, instances int) Verdict {
-	d := g.door(workspace)
-	d.use.Asked += units
-	trusted := g.trusted(d)
-	v := Verdict{Limit: l, Pass: d.pass, Used: d.used, Age: now.Sub(g.heardAt), Alone: now > trusted}
-	part := l.Rate / float64(max(instances, 1))
+	s := g.state(workspace)
+	s.use.Asked += units
+	until := g.trustedUntil(s)
+	v := Verdict{Limit: l, Pass: s.pass, Used: s.used, Age: now.Sub(g.updatedAt), Alone: now > until}
+	share := l.Rate / float64(max(instances, 1))
 	switch {
 	case v.Alone:
-		v.Admitted, v.After = d.takePart(now, trusted, part, units)
-	case g.heardAt == 0:
-		v.Admitted = d.use.Ran <= youngTimes*part*now.Sub(g.began).Seconds()
+		v.Admitted, v.After = s.admitByShare(now, until, share, units)
+	case g.updatedAt == 0:
+		v.Admitted = s.use.Ran <= startupShareFactor*share*now.Sub(g.startedAt).Seconds()
 	default:
-		v.Admitted, v.After = d.takePass()
+		v.Admitted, v.After = s.admitByRatio()
 	}
 	if v.Admitted {
-		d.use.Ran += units
+		s.use.Ran += units
 		return v
 	}
 	g.refused++
-	v.After = g.spread(min(max(v.After, backLeast), backMost))
+	v.After = g.jitter(min(max(v.After, minRetryAfter), maxRetryAfter))
 	return v
 }
 
-// Credit takes back what was counted for a request that did not run.
-func (g *Gate) Credit(workspace string, units float64) { g.door(workspace).use.Ran -= units }
+// Credit subtracts the units of an admitted request that was not executed.
+func (g *Gate) Credit(workspace string, units float64) { g.state(workspace).use.Ran -= units }
 
-// trusted is until when a workspace's last word is gone by. Later, this instance must
-// keep to its own part of the limit. One that is young and has heard nobody is taken
-// for one whose peers begin with it.
-func (g *Gate) trusted(d *door) clock.Millis {
+// trustedUntil returns until when a workspace's latest update is used. After that, this
+// instance must enforce its own share of the limit. An instance that has just started
+// and has received no update assumes that all instances are starting.
+func (g *Gate) trustedUntil(s *state) clock.Millis {
 	switch {
-	case g.heardAt == 0:
-		return g.began.Add(youth)
-	case d.near:
-		return g.heardAt.Add(nearSilence)
+	case g.updatedAt == 0:
+		return g.startedAt.Add(startupGrace)
+	case s.nearLimit:
+		return g.updatedAt.Add(nearLimitTimeout)
 	default:
-		return g.heardAt.Add(silence)
+		return g.updatedAt.Add(ledgerTimeout)
 	}
 }
 
-// takePass lets that part of the requests pass that the last word allows. It goes
-// by requests and not by units, so that large ones are not refused more often.
-func (d *door) takePass() (bool, time.Duration) {
-	d.partAt, d.part = 0, 0
-	d.credit = min(d.credit+d.pass, 1+d.pass)
-	if d.pass >= 1 || d.credit >= 1 {
-		d.credit = max(d.credit-1, 0)
+// admitByRatio admits the fraction of requests given by the latest update. It counts
+// requests and not units, so that large ones are not refused more often.
+func (s *state) admitByRatio() (bool, time.Duration) {
+	s.savedAt, s.savedShare = 0, 0
+	s.credit = min(s.credit+s.pass, 1+s.pass)
+	if s.pass >= 1 || s.credit >= 1 {
+		s.credit = max(s.credit-1, 0)
 		return true, 0
 	}
-	if d.pass <= 0 {
-		return false, backMost
+	if s.pass <= 0 {
+		return false, maxRetryAfter
 	}
-	// What is refused in a second takes as long to be worked off.
-	return false, time.Duration((1/d.pass - 1) * float64(time.Second))
+	// The requests refused in a second take this long to execute at the admitted rate.
+	return false, time.Duration((1/s.pass - 1) * float64(time.Second))
 }
 
-// takePart lets a request pass if the instance has saved up enough of its part of
-// the limit since it is alone. It begins with nothing: what it used before is not
-// known to others.
-func (d *door) takePart(now, since clock.Millis, perSecond, units float64) (bool, time.Duration) {
-	if d.partAt == 0 {
-		d.partAt = since
+// admitByShare admits a request if the instance has accumulated enough of its share of
+// the limit since it became isolated. It starts with nothing, because the other
+// instances do not know what it used before.
+func (s *state) admitByShare(now, since clock.Millis, perSecond, units float64) (bool, time.Duration) {
+	if s.savedAt == 0 {
+		s.savedAt = since
 	}
-	d.part = min(d.part+perSecond*now.Sub(d.partAt).Seconds(), max(perSecond*partDepth.Seconds(), units))
-	d.partAt = now
-	if d.part >= units {
-		d.part -= units
+	s.savedShare = min(s.savedShare+perSecond*now.Sub(s.savedAt).Seconds(), max(perSecond*maxSavingTime.Seconds(), units))
+	s.savedAt = now
+	if s.savedShare >= units {
+		s.savedShare -= units
 		return true, 0
 	}
-	return false, time.Duration((units - d.part) / max(perSecond, 1) * float64(time.Second))
+	return false, time.Duration((units - s.savedShare) / max(perSecond, 1) * float64(time.Second))
 }
 
-// golden, times whole numbers, spreads them evenly over a unit interval.
-const golden = 0.6180339887
+// goldenRatio is the fractional part of the golden ratio; its multiples modulo 1 are
+// evenly spread.
+const goldenRatio = 0.6180339887
 
-func even(n int) float64 {
-	_, part := math.Modf(float64(n) * golden)
+func spreadEvenly(n int) float64 {
+	_, part := math.Modf(float64(n) * goldenRatio)
 	return part
 }
 
-func (g *Gate) spread(after time.Duration) time.Duration {
-	return time.Duration(float64(after) * (1 + spread*(even(g.refused)-0.5)))
+func (g *Gate) jitter(after time.Duration) time.Duration {
+	return time.Duration(float64(after) * (1 + jitter*(spreadEvenly(g.refused)-0.5)))
 }
 
-// Report returns what has changed since the last one, or everything if all is set.
+// Report returns what has changed since the last report, or everything if all is set.
 func (g *Gate) Report(all bool) []quota.Use {
 	var uses []quota.Use
-	for _, d := range g.doors {
-		if all && d.use != (quota.Use{Workspace: d.use.Workspace}) || d.use != d.told {
-			d.told = d.use
-			uses = append(uses, d.use)
+	for _, s := range g.workspaces {
+		if all && s.use != (quota.Use{Workspace: s.use.Workspace}) || s.use != s.reported {
+			s.reported = s.use
+			uses = append(uses, s.use)
 		}
 	}
 	return uses
 }
 
-// Hear takes a ledger's words. Workspaces that they leave out may pass.
+// Hear applies an update of a ledger. Workspaces that it omits are not limited.
 func (g *Gate) Hear(now clock.Millis, words []quota.Word) {
-	g.heardAt = now
-	for _, d := range g.doors {
-		d.pass, d.used, d.near = 1, 0, false
+	g.updatedAt = now
+	for _, s := range g.workspaces {
+		s.pass, s.used, s.nearLimit = 1, 0, false
 	}
 	for _, w := range words {
-		d := g.door(w.Workspace)
-		d.pass, d.used, d.near = w.Pass, w.Used, true
+		s := g.state(w.Workspace)
+		s.pass, s.used, s.nearLimit = w.Pass, w.Used, true
 	}
 }
 
-// Near says whether some workspace is near its limit, as last heard, so that
-// reports are wanted often.
+// Near reports whether some workspace was near its limit in the latest update, so that
+// reports should be frequent.
 func (g *Gate) Near() bool {
-	for _, d := range g.doors {
-		if d.near {
+	for _, s := range g.workspaces {
+		if s.nearLimit {
 			return true
 		}
 	}
--- a/internal/admission/gate_test.go
+++ b/internal/admission/gate_test.go
@@ -14,10 +14,10 @@
 
 var limit = quota.Limit{Rate: 200_000, Burst: 200_000}
 
-// request is an ordinary one, in tokens.
+// request is the size of an ordinary request in tokens.
 const request = 4000
 
-// admitted counts how many of so many requests, a time apart, are let through.
+// admitted sends a number of requests at an interval and counts those admitted.
 func admitted(g *admission.Gate, from clock.Millis, requests int, apart time.Duration) int {
 	n := 0
 	for r := range requests {
@@ -28,26 +28,27 @@
 	return n
 }
 
-// A gate goes by the last word while it is new, admits a first request in a process
-// that has just begun, and keeps to its part of the limit else: 2,500 tokens a second.
-func TestWhatAGateGoesBy(t *testing.T) {
+// A gate follows the latest update while it is recent, admits a first request after the
+// start of its instance, and otherwise enforces its share of the limit: 2,500 tokens a
+// second.
+func TestAdmissionModes(t *testing.T) {
 	word := func(pass float64) []quota.Word { return []quota.Word{{Workspace: "w", Pass: pass}} }
 	far := []quota.Word{}
 	tests := []struct {
 		name  string
-		words []quota.Word // heard at 1 s; nil: none
-		at    clock.Millis // of ten requests
+		words []quota.Word // updates received at 1 s; nil: none
+		at    clock.Millis // of the first of ten requests
 		apart time.Duration
 		least int
 		most  int
 	}{
-		{"just begun", nil, 100, 100 * time.Millisecond, 1, 1},
-		{"never heard, alone since 1.5 s", nil, 2500, 100 * time.Millisecond, 1, 1},
-		{"all may pass", far, 1000, 10 * time.Millisecond, 10, 10},
-		{"a half may pass", word(0.5), 1000, 10 * time.Millisecond, 4, 6},
-		{"nothing may pass", word(0), 1000, 10 * time.Millisecond, 0, 0},
-		{"heard long ago, alone since 2 s", far, 3000, 100 * time.Millisecond, 1, 1},
-		{"near its limit, alone since 1.4 s", word(1), 1500, 100 * time.Millisecond, 0, 0},
+		{"just started", nil, 100, 100 * time.Millisecond, 1, 1},
+		{"no update, isolated since 1.5 s", nil, 2500, 100 * time.Millisecond, 1, 1},
+		{"all are admitted", far, 1000, 10 * time.Millisecond, 10, 10},
+		{"half are admitted", word(0.5), 1000, 10 * time.Millisecond, 4, 6},
+		{"none are admitted", word(0), 1000, 10 * time.Millisecond, 0, 0},
+		{"old update, isolated since 2 s", far, 3000, 100 * time.Millisecond, 1, 1},
+		{"near its limit, isolated since 1.4 s", word(1), 1500, 100 * time.Millisecond, 0, 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -61,9 +62,9 @@
 	}
 }
 
-// In a process that has just begun the first request of each workspace is admitted,
-// small ones all.
-func TestJustBegun(t *testing.T) {
+// After the start of an instance the first request of each workspace is admitted, and
+// all requests if they are small.
+func TestFirstRequestsAfterStart(t *testing.T) {
 	c := qt.New(t)
 	g := admission.New(0)
 	for _, workspace := range []string{"a", "b", "c"} {
@@ -75,9 +76,9 @@
 	}
 }
 
-// Alone, which it is from 1.5 s on, an instance saves its part up, for four seconds at
-// the most.
-func TestPartIsSavedUp(t *testing.T) {
+// An instance that is isolated, here from 1.5 s on, accumulates its share for up to
+// four seconds.
+func TestShareIsSaved(t *testing.T) {
 	c := qt.New(t)
 	g := admission.New(0)
 	c.Assert(admitted(g, 2_500, 1, 0), qt.Equals, 0)
@@ -86,7 +87,7 @@
 }
 
 // Large requests are not refused more often than small ones.
-func TestSizesFareAlike(t *testing.T) {
+func TestSizesAreTreatedAlike(t *testing.T) {
 	c := qt.New(t)
 	g := admission.New(1)
 	g.Hear(1, []quota.Word{{Workspace: "w", Pass: 0.4}})
@@ -103,7 +104,7 @@
 	c.Assert(float64(admitted[200])/2000 > 0.35 && float64(admitted[9000])/1000 > 0.35, qt.IsTrue, qt.Commentf("%v", admitted))
 }
 
-// What did not run does not count.
+// Requests that were not executed do not count.
 func TestCredit(t *testing.T) {
 	c := qt.New(t)
 	g := admission.New(1)
@@ -113,7 +114,7 @@
 	c.Assert(g.Report(false), qt.HasLen, 0)
 }
 
-// Those who are refused together are told different times to come back.
+// Callers that are refused together get different retry delays.
 func ExampleGate_Admit() {
 	g := admission.New(0)
 	g.Hear(1000, []quota.Word{{Workspace: "w", Pass: 0, Used: 1_900_000}})
