--- a/internal/placement/events.go
+++ b/internal/placement/events.go
@@ -27,10 +27,10 @@
 	}
 }
 
-// handleLoadReport takes an engine's load report, as requested at start-up, when no
-// allocations are known of instances that have gone. Work left at prefill engines is
-// assumed to be worked off one prompt at a time; memory left at decode engines counts
-// for externalLoadLifetime.
+// handleLoadReport takes an engine's load report, which is requested at start-up, when
+// allocations of instances that are gone are unknown. Work that they left at prefill
+// engines is assumed to be worked off one prompt at a time; memory that they left at
+// decode engines counts for externalLoadLifetime, about as long as answers take.
 func (p *Planner) handleLoadReport(now clock.Millis, m Loaded) {
 	e := p.engines[m.Engine]
 	if e == nil {
--- a/internal/placement/grant.go
+++ b/internal/placement/grant.go
@@ -40,7 +40,7 @@
 }
 
 // chooseDecoder returns the decode engine with the smallest share of its memory in use,
-// among those that may accepts.
+// among those that are eligible.
 func (p *Planner) chooseDecoder(now clock.Millis, req Ask, h health, eligible func(*engine) bool) (*engine, string) {
 	if req.Once {
 		h = healthy
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -65,8 +65,8 @@
 	maxRetryAfter = 4 * time.Second
 )
 
-// Event is an input of a planner: Ask, Progress, Loaded, Release, Closed, Announce,
-// Known or Tick.
+// Event is an input of a planner: [Ask], [Progress], [Loaded], [Release], [Closed],
+// [Announce], [Known] or [Tick].
 type Event interface{ event() }
 
 // Known carries the current endpoints of the zone.
@@ -115,10 +115,10 @@
 }
 
 // New returns the planner of a zone that runs on an instance. It predicts engine
-// timings with the model paces, which it also updates.
-func New(zone, instance string, paces *pace.Model) *Planner {
+// timings with the model, which it also updates.
+func New(zone, instance string, model *pace.Model) *Planner {
 	return &Planner{
-		zone: zone, instance: instance, model: paces, engines: map[string]*engine{}, allocations: map[string]*allocation{},
+		zone: zone, instance: instance, model: model, engines: map[string]*engine{}, allocations: map[string]*allocation{},
 		ownerSeenAt: map[string]clock.Millis{}, ended: map[string]clock.Millis{},
 	}
 }
--- a/internal/placement/queue.go
+++ b/internal/placement/queue.go
@@ -9,7 +9,7 @@
 // queuedRequest is a request that waits for capacity.
 type queuedRequest struct {
 	req          Ask
-	neededTokens int          // of KV memory, as predicted on arrival
+	neededTokens int          // tokens of KV memory, as predicted on arrival
 	deadline     clock.Millis // it can be in time if it is granted before that
 	refuseAt     clock.Millis // it is refused then
 }
@@ -65,10 +65,10 @@
 	p.queue = kept
 }
 
-// serveMatching grants the queued requests that may accepts and that fit, and adds the
-// services of those that do not fit to blocked.
+// serveMatching grants the queued requests that are eligible and that fit, and adds the
+// services of eligible ones that do not fit to blocked.
 func (p *Planner) serveMatching(now clock.Millis, eligible func(queuedRequest) bool, blocked map[string]bool) {
-	failed := rejections{}
+	rejected := rejections{}
 	kept := p.queue[:0]
 	for _, q := range p.queue {
 		if p.ended[q.req.ID] != 0 {
@@ -79,12 +79,12 @@
 			continue
 		}
 		q.req.Late = q.late(now)
-		if !failed.covers(q) {
+		if !rejected.covers(q) {
 			reason := p.allocate(now, q.req)
 			if reason == "" {
 				continue
 			}
-			failed.record(q, reason)
+			rejected.record(q, reason)
 		}
 		if blocked != nil {
 			blocked[q.req.Service] = true
--- a/internal/placement/rejections.go
+++ b/internal/placement/rejections.go
@@ -21,31 +21,31 @@
 // rejection is the smallest request of a class that was not granted.
 type rejection struct {
 	req  Ask
-	need int // of KV memory
+	need int // tokens of KV memory
 }
 
 // record adds a request that was not granted. A request that restricts its engines says
 // nothing about others.
-func (f rejections) record(q queuedRequest, reason string) {
+func (r rejections) record(q queuedRequest, reason string) {
 	if q.restricted() {
 		return
 	}
 	key := classOf(q.req, reason)
-	if before, known := f[key]; !known || q.neededTokens < before.need {
-		f[key] = rejection{req: q.req, need: q.neededTokens}
+	if before, known := r[key]; !known || q.neededTokens < before.need {
+		r[key] = rejection{req: q.req, need: q.neededTokens}
 	}
 }
 
 // covers reports whether a request cannot be granted because a smaller one was not, for
 // lack of memory or of a prefill engine that is free in time.
-func (f rejections) covers(q queuedRequest) bool {
+func (r rejections) covers(q queuedRequest) bool {
 	if q.restricted() {
 		return false
 	}
-	if full, known := f[classOf(q.req, ReasonFull)]; known && q.neededTokens >= full.need {
+	if full, known := r[classOf(q.req, ReasonFull)]; known && q.neededTokens >= full.need {
 		return true
 	}
-	busy, known := f[classOf(q.req, ReasonBusy)]
+	busy, known := r[classOf(q.req, ReasonBusy)]
 	inTime := q.req.Prompt >= busy.req.Prompt && q.neededTokens >= busy.need && q.req.Budget <= busy.req.Budget
 	return known && (q.req.Late || inTime)
 }
