--- a/internal/pace/estimator.go
+++ b/internal/pace/estimator.go
@@ -100,19 +100,19 @@
 // predict returns the expected outcome at an engine.
 func (e *estimator) predict(engine string, size float64) float64 {
 	e.refit()
-	usual := e.fit.at(size)
+	common := e.fit.at(size)
 	h := e.engines[engine]
 	if h == nil {
-		return usual
+		return common
 	}
 	deviation, known := e.deviation(h)
 	if !known {
-		return usual
+		return common
 	}
 	if e.logarithmic {
-		return max(usual+deviation, 0)
+		return max(common+deviation, 0)
 	}
-	return usual * deviation
+	return common * deviation
 }
 
 // deviation returns how an engine's recent samples differ from the common fit: as a
--- a/internal/pace/figure.go
+++ b/internal/pace/figure.go
@@ -25,7 +25,7 @@
 			continue
 		}
 		e.refit()
-		f := Figure{Service: id.service, Act: id.act, Base: e.fit.base, Slope: e.fit.slope}
+		f := Figure{Service: id.service, Act: id.quantity, Base: e.fit.base, Slope: e.fit.slope}
 		f.Low, f.High = e.sizeRange()
 		list = append(list, f)
 	}
--- a/internal/pace/pace.go
+++ b/internal/pace/pace.go
@@ -47,14 +47,14 @@
 	minDeviation = 0.1
 	// maxPeers bounds the number of instances whose figures are kept.
 	maxPeers = 8
-	// highQuantile is the fraction of requests that take no longer than Most.
+	// highQuantile is the fraction of requests that take no longer than [Span.Most].
 	highQuantile = 0.9
 )
 
 // AnyEngine selects the prediction for a typical engine of a service.
 const AnyEngine = ""
 
-// Observation is the outcome of one request. Size and Outcome depend on Act.
+// Observation is the outcome of one request. Size and Outcome depend on the [Act].
 type Observation struct {
 	Service string
 	Engine  string
@@ -72,8 +72,8 @@
 }
 
 type key struct {
-	service string
-	act     Act
+	service  string
+	quantity Act
 }
 
 // New returns a model without observations, which predicts by prior.
@@ -95,26 +95,27 @@
 	m.estimator(o.Service, o.Act).learn(o.Engine, sample{size: o.Size, outcome: o.Outcome, at: now})
 }
 
-// Span is a predicted time: half of the requests take no longer than Likely, nine in
-// ten no longer than Most.
+// Span is a predicted time, as the median and the 90th percentile of requests.
 type Span struct {
 	Likely, Most time.Duration
 }
 
-// Span predicts the time of Read, Turn, Begin or Whole for a prompt.
-func (m *Model) Span(act Act, service, engine string, prompt int) Span {
+// Span predicts one of the times that depend on the prompt: [Read], [Turn], [Begin] or
+// [Whole].
+func (m *Model) Span(quantity Act, service, engine string, prompt int) Span {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	e := m.estimator(service, act)
-	likely := e.predict(engine, float64(prompt))
-	return Span{Likely: millisToDuration(likely), Most: millisToDuration(likely * e.spread())}
+	e := m.estimator(service, quantity)
+	predicted := e.predict(engine, float64(prompt))
+	return Span{Likely: millisToDuration(predicted), Most: millisToDuration(predicted * e.spread())}
 }
 
-// Likely is like Span without Most, whose cost grows with the number of engines.
-func (m *Model) Likely(act Act, service, engine string, prompt int) time.Duration {
+// Likely returns only the median of [Model.Span], because the cost of the percentile
+// grows with the number of engines.
+func (m *Model) Likely(quantity Act, service, engine string, prompt int) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return millisToDuration(m.estimator(service, act).predict(engine, float64(prompt)))
+	return millisToDuration(m.estimator(service, quantity).predict(engine, float64(prompt)))
 }
 
 // Step predicts the time per token at an engine with a number of running requests.
@@ -124,8 +125,7 @@
 	return millisToDuration(m.estimator(service, Step).predict(engine, float64(running)))
 }
 
-// Tokens is a predicted length: half of the answers are no longer than Likely; Mean is
-// the average.
+// Tokens is a predicted length, as the median and the mean of answers.
 type Tokens struct {
 	Likely, Mean int
 }
@@ -139,29 +139,29 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	e := m.estimator(service, Length)
-	likely := math.Exp(e.predict(route, logTokens(float64(expected))))
-	mean := likely * e.meanRatio()
+	predicted := math.Exp(e.predict(route, logTokens(float64(expected))))
+	mean := predicted * e.meanRatio()
 	if most > 0 {
-		likely, mean = min(likely, float64(most)), min(mean, float64(most))
+		predicted, mean = min(predicted, float64(most)), min(mean, float64(most))
 	}
-	return Tokens{Likely: int(math.Round(likely)), Mean: int(math.Round(mean))}
+	return Tokens{Likely: int(math.Round(predicted)), Mean: int(math.Round(mean))}
 }
 
 // Usual returns the typical size of a service's prompts or answers in tokens, or false
 // if none was observed.
-func (m *Model) Usual(act Act, service string) (int, bool) {
+func (m *Model) Usual(quantity Act, service string) (int, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	e := m.estimator(service, act)
+	e := m.estimator(service, quantity)
 	tokens := e.predict(AnyEngine, 0)
 	return int(tokens), e.known
 }
 
 // Seen returns the number of observations of a quantity by this process.
-func (m *Model) Seen(service string, act Act) int {
+func (m *Model) Seen(service string, quantity Act) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.estimator(service, act).observations
+	return m.estimator(service, quantity).observations
 }
 
 // Forget drops the samples of removed engines, those for which live returns false.
@@ -170,17 +170,17 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for id, e := range m.estimators {
-		if id.act < Length {
+		if id.quantity < Length {
 			e.forget(live)
 		}
 	}
 }
 
-func (m *Model) estimator(service string, act Act) *estimator {
-	id := key{service, act}
+func (m *Model) estimator(service string, quantity Act) *estimator {
+	id := key{service, quantity}
 	e := m.estimators[id]
 	if e == nil {
-		e = &estimator{prior: m.prior.line(act), logarithmic: act == Length, engines: map[string]*history{}, reported: map[string]Figure{}}
+		e = &estimator{prior: m.prior.line(quantity), logarithmic: quantity == Length, engines: map[string]*history{}, reported: map[string]Figure{}}
 		m.estimators[id] = e
 	}
 	return e
--- a/internal/pace/pace_test.go
+++ b/internal/pace/pace_test.go
@@ -178,11 +178,11 @@
 				Outcome: rapid.OneOf(rapid.Float64Range(-10, 1e5), rapid.Just(math.NaN()), rapid.Just(math.Inf(1))).Draw(rt, "outcome"),
 			})
 		}
-		for _, act := range []pace.Act{pace.Read, pace.Begin, pace.Whole} {
+		for _, quantity := range []pace.Act{pace.Read, pace.Begin, pace.Whole} {
 			for _, engine := range []string{"a", "unseen"} {
-				small, large := m.Span(act, "llm", engine, 100), m.Span(act, "llm", engine, 10_000)
+				small, large := m.Span(quantity, "llm", engine, 100), m.Span(quantity, "llm", engine, 10_000)
 				if small.Likely < 0 || small.Most < small.Likely || large.Likely < small.Likely {
-					rt.Fatalf("%v: %v for 100 tokens, %v for 10,000", act, small, large)
+					rt.Fatalf("%v: %v for 100 tokens, %v for 10,000", quantity, small, large)
 				}
 			}
 		}
--- a/internal/pace/prior.go
+++ b/internal/pace/prior.go
@@ -7,7 +7,7 @@
 )
 
 // Prior holds the assumptions about engines without observations. Its zero value is not
-// usable; Cautious returns the default.
+// usable; [Cautious] returns the default.
 type Prior struct {
 	ReadSetup  time.Duration // time to an engine's answer on top of the prompt's tokens; it may start the next prompt meanwhile
 	ReadToken  time.Duration // per token of a prompt
@@ -31,8 +31,8 @@
 	}
 }
 
-func (p Prior) line(act Act) line {
-	switch act {
+func (p Prior) line(quantity Act) line {
+	switch quantity {
 	case Read:
 		return line{base: clock.InMillis(p.ReadSetup), slope: clock.InMillis(p.ReadToken)}
 	case Turn:
