--- a/internal/staging/runner_test.go
+++ b/internal/staging/runner_test.go
@@ -13,7 +13,7 @@
 	"github.com/trailshed/trailshed/internal/leadership"
 )
 
-// An engine that must be avoided gets no order, and Closed is not called for it.
+// An engine that must be avoided gets no order, and its change is not announced.
 func TestNoOrdersToAvoidedEngines(t *testing.T) {
 	for _, spared := range []bool{true, false} {
 		c := qt.New(t)
