--- a/internal/permit/main_test.go
+++ b/internal/permit/main_test.go
@@ -7,7 +7,7 @@
 	"github.com/trailshed/trailshed/internal/standin/seed"
 )
 
-// checks is how many fleets under faults are drawn.
-const checks = 300
+// fleetChecks is the number of simulated fleets with faults that are checked.
+const fleetChecks = 300
 
-func TestMain(m *testing.M) { os.Exit(seed.MainOf(m, checks)) }
+func TestMain(m *testing.M) { os.Exit(seed.MainOf(m, fleetChecks)) }
--- a/internal/permit/pool.go
+++ b/internal/permit/pool.go
@@ -8,58 +8,61 @@
 )
 
 const (
-	// probeRate is how many requests a second an endpoint gets that wants none or
-	// hardly any: nobody would hear otherwise that it wants some again.
+	// probeRate is the minimum rate, in requests a second, at which requests are sent
+	// to an endpoint whose limit is 0 or close to it. Without them no instance would
+	// learn that the endpoint accepts requests again.
 	probeRate = 0.2
-	// lapse is how long a permit that nobody wanted may be used, for each part that its
-	// issuer holds. Many instances that are alone, each with a part that fills in a
-	// minute, would otherwise have one ready each, and use them at once.
-	lapse = 500 * time.Millisecond
-	// urgentFor is how long after a more urgent request found no permit one is kept for
-	// the next such request.
-	urgentFor = time.Second
-	// DenyMost is the longest for which who was denied should not ask again: parts that
-	// are lent a moment later bring permits sooner than those that were there promised.
+	// permitLifetime is how long an unused permit stays valid, for each share that the
+	// issuer holds. Without an expiry, many isolated instances whose shares fill once a
+	// minute would each have a permit ready and use them all at once.
+	permitLifetime = 500 * time.Millisecond
+	// reserveTime is how long after a more urgent request was denied one permit is
+	// reserved for the next request of that urgency.
+	reserveTime = time.Second
+	// DenyMost is the longest that a denied requester should wait before it asks again:
+	// shares lent meanwhile may yield permits sooner than the shares held at the denial
+	// would.
 	DenyMost = time.Second
-	// idlePause is for how long nobody asks again an issuer that has no part.
-	idlePause = 250 * time.Millisecond
-	// leastPause and mostPause bound the time until a denied ask may be repeated; the
-	// latter is when an endpoint that wants nothing is asked again.
-	leastPause = 20 * time.Millisecond
-	mostPause  = 5 * time.Second
+	// noShareDelay is the retry delay when the issuer holds no share.
+	noShareDelay = 250 * time.Millisecond
+	// minRetryDelay and maxRetryDelay bound the time after which a denied request may
+	// be repeated. maxRetryDelay also applies to an endpoint whose limit is 0.
+	minRetryDelay = 20 * time.Millisecond
+	maxRetryDelay = 5 * time.Second
 )
 
-// pool is the permits of one endpoint.
+// pool holds the permits of one endpoint.
 type pool struct {
-	tokens float64
-	phase  float64 // of the next token
-	bornAt clock.Millis
-	at     clock.Millis
-	denied map[int]clock.Millis // by priority: when one was last denied
+	tokens    float64
+	fraction  float64 // of the next token
+	filledAt  clock.Millis
+	updatedAt clock.Millis
+	denied    map[int]clock.Millis // by priority: time of the last denial
 }
 
-// refill lets time pass at a rate of tokens a second. What nobody uses within valid is
-// lost, and so is more than comes within lapse.
-func (p *pool) refill(now clock.Millis, rate float64, valid time.Duration) {
-	total := p.phase + rate*max(now.Sub(p.at), 0).Seconds()
+// refill adds the tokens that accrued since the last update, at rate tokens a second.
+// Tokens not used within lifetime expire, and no more are kept than accrue within
+// permitLifetime, plus one.
+func (p *pool) refill(now clock.Millis, rate float64, lifetime time.Duration) {
+	total := p.fraction + rate*max(now.Sub(p.updatedAt), 0).Seconds()
 	whole := math.Floor(total)
-	p.at, p.phase = now, total-whole
+	p.updatedAt, p.fraction = now, total-whole
 	if whole > 0 {
 		p.tokens += whole
-		p.bornAt = now.Add(-time.Duration(p.phase / rate * float64(time.Second)))
+		p.filledAt = now.Add(-time.Duration(p.fraction / rate * float64(time.Second)))
 	}
-	p.tokens = min(p.tokens, 1+math.Floor(rate*lapse.Seconds()))
-	if now.Sub(p.bornAt) > valid {
+	p.tokens = min(p.tokens, 1+math.Floor(rate*permitLifetime.Seconds()))
+	if now.Sub(p.filledAt) > lifetime {
 		p.tokens = 0
 	}
 }
 
-// ask takes a permit. Where a more urgent request was denied lately, the last one is
-// left for its like.
-func (p *pool) ask(now clock.Millis, rate float64, priority int) Verdict {
+// take issues a permit if one is available. The last one is reserved if a more urgent
+// request was denied within reserveTime.
+func (p *pool) take(now clock.Millis, rate float64, priority int) Verdict {
 	need := 1.0
-	for more, at := range p.denied {
-		if more < priority && now.Sub(at) < urgentFor {
+	for other, at := range p.denied {
+		if other < priority && now.Sub(at) < reserveTime {
 			need = 2
 		}
 	}
@@ -68,14 +71,14 @@
 		return Verdict{Granted: true}
 	}
 	p.denied[priority] = now
-	return Verdict{After: p.wait(rate, need)}
+	return Verdict{After: p.waitTime(rate, need)}
 }
 
-// wait is how long it takes until so many tokens are there.
-func (p *pool) wait(rate, need float64) time.Duration {
+// waitTime returns how long it takes until need tokens are available.
+func (p *pool) waitTime(rate, need float64) time.Duration {
 	if rate == 0 {
-		return idlePause
+		return noShareDelay
 	}
-	seconds := (need - p.tokens - p.phase) / rate
-	return min(max(time.Duration(seconds*float64(time.Second)), leastPause), mostPause)
+	seconds := (need - p.tokens - p.fraction) / rate
+	return min(max(time.Duration(seconds*float64(time.Second)), minRetryDelay), maxRetryDelay)
 }
--- a/internal/permit/world_test.go
+++ b/internal/permit/world_test.go
@@ -13,61 +13,63 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// The users' rule: in some 4 s an endpoint gets one and a half times its limit and five
-// requests more, at most.
+// The users' rule: in some 4 s an endpoint gets one and a half burstFactor its limit and five
+// requests burstExtra, at most.
 const (
-	window = 4 * time.Second
-	times  = 1.5
-	more   = 5
+	// The burst rule: within any 4 s an endpoint gets at most one and a half times its
+	// limit plus five requests.
+	window      = 4 * time.Second
+	burstFactor = 1.5
+	burstExtra  = 5
 )
 
-func bound(rate float64) int { return int(times*rate*window.Seconds() + more) }
+func bound(rate float64) int { return int(burstFactor*rate*window.Seconds() + burstExtra) }
 
 const (
-	step     = 10 * time.Millisecond
-	lendTick = 400 * time.Millisecond
-	// probePause is between two questions whether who was silent answers again.
-	probePause = time.Second
-	// youth is how long an instance does not count on knowing the others.
-	youth = 3 * time.Second
+	step         = 10 * time.Millisecond
+	lendInterval = 400 * time.Millisecond
+	// probeInterval is how often an unresponsive instance is probed.
+	probeInterval = time.Second
+	// discoveryTime is how long after its start an instance may not know all others.
+	discoveryTime = 3 * time.Second
 )
 
-// world is a fleet that lends parts and asks for permits as internal/throttle does, at
-// its times, in emulated time. Limits are known to all.
+// world simulates a fleet that lends shares and requests permits as internal/throttle
+// does, with the same intervals. All instances know the limits.
 type world struct {
-	random    *rand.Rand
-	now       clock.Millis
-	instances []*instance
-	zones     []string
-	limits    []limited
-	delay     time.Duration // of a message, at most
-	quiet     bool          // no endpoint names a limit yet
-	mail      []letter
-	asked     int
-	sent      map[string][]clock.Millis // to each endpoint
-	messages  int
-	bytes     int // of messages, without what carries them
-	apart     func(a, b *instance) bool
+	random        *rand.Rand
+	now           clock.Millis
+	instances     []*instance
+	zones         []string
+	limits        []limitedEndpoint
+	delay         time.Duration // maximum for a message
+	limitsUnknown bool          // no endpoint has announced a limit yet
+	inFlight      []delivery
+	requests      int
+	sent          map[string][]clock.Millis // by endpoint
+	messages      int
+	bytes         int // payload of the messages
+	partitioned   func(a, b *instance) bool
 }
 
-type limited struct {
+type limitedEndpoint struct {
 	endpoint, zone string
 	rate           float64
 }
 
 type instance struct {
-	name, zone string
-	index      int
-	issuer     *permit.Issuer
-	life       int
-	denied     map[string]clock.Millis // until when it asks for no permit of an endpoint
-	began      clock.Millis
-	up         clock.Millis               // when it begins anew; 0 while it runs
-	until      clock.Millis               // it is suspended until then
-	silent     map[*instance]clock.Millis // who did not answer, and when it is asked again
+	name, zone     string
+	index          int
+	issuer         *permit.Issuer
+	life           int
+	denied         map[string]clock.Millis // by endpoint: time before which no permit is requested
+	startedAt      clock.Millis
+	restartAt      clock.Millis // 0 while it runs
+	suspendedUntil clock.Millis
+	unresponsive   map[*instance]clock.Millis // when each is probed again
 }
 
-type letter struct {
+type delivery struct {
 	at   clock.Millis
 	to   *instance
 	life int
@@ -77,70 +79,70 @@
 func newWorld(seed uint64, instances, zones, endpoints int, rate float64) *world {
 	w := &world{
 		random: rand.New(rand.NewPCG(seed, 1)), now: 100_000, delay: 20 * time.Millisecond, sent: map[string][]clock.Millis{},
-		apart: func(_, _ *instance) bool { return false },
+		partitioned: func(_, _ *instance) bool { return false },
 	}
 	for z := range zones {
 		w.zones = append(w.zones, fmt.Sprint("z", z))
 	}
 	for n := range endpoints {
-		w.limits = append(w.limits, limited{fmt.Sprint("e", n), w.zones[n%zones], rate})
+		w.limits = append(w.limits, limitedEndpoint{fmt.Sprint("e", n), w.zones[n%zones], rate})
 	}
 	for n := range instances {
 		i := &instance{name: fmt.Sprint("n", n), zone: w.zones[n%zones], index: n}
 		w.instances = append(w.instances, i)
-		w.begin(i)
+		w.start(i)
 	}
 	return w
 }
 
-func (w *world) begin(i *instance) {
-	i.issuer, i.up, i.silent = permit.New(w.random.Float64), 0, map[*instance]clock.Millis{}
+func (w *world) start(i *instance) {
+	i.issuer, i.restartAt, i.unresponsive = permit.New(w.random.Float64), 0, map[*instance]clock.Millis{}
 	i.denied = map[string]clock.Millis{}
 	i.life++
-	i.began = w.now
+	i.startedAt = w.now
 }
 
-func (w *world) runs(i *instance) bool { return i.up == 0 && w.now >= i.until }
+func (w *world) running(i *instance) bool { return i.restartAt == 0 && w.now >= i.suspendedUntil }
 
 func (w *world) reaches(a, b *instance) bool {
-	return a == b || w.runs(b) && !w.apart(a, b)
+	return a == b || w.running(b) && !w.partitioned(a, b)
 }
 
-// kill ends an instance, which begins anew after a time.
-func (w *world) kill(i *instance, away time.Duration) { i.up = w.now.Add(max(away, step)) }
+// kill ends an instance, which restarts after a time.
+func (w *world) kill(i *instance, away time.Duration) { i.restartAt = w.now.Add(max(away, step)) }
 
-// first is the first instance of a zone that another one does not take for silent.
+// first returns the first instance of a zone that by does not consider unresponsive.
 func (w *world) first(by *instance, zone string) *instance {
 	for _, i := range w.instances {
-		if _, silent := by.silent[i]; i.zone == zone && !silent {
+		if _, silent := by.unresponsive[i]; i.zone == zone && !silent {
 			return i
 		}
 	}
 	return nil
 }
 
-// step lets time pass: demand gives the requests a second for an endpoint that come to
-// an instance.
-func (w *world) step(demand func(l limited, i *instance) float64) {
+// step advances the time. demand returns the requests a second for an endpoint that
+// arrive at an instance.
+func (w *world) step(demand func(l limitedEndpoint, i *instance) float64) {
 	w.now = w.now.Add(step)
 	w.deliver()
 	for _, i := range w.instances {
-		if i.up != 0 && w.now >= i.up {
-			w.begin(i)
+		if i.restartAt != 0 && w.now >= i.restartAt {
+			w.start(i)
 		}
-		if !w.runs(i) {
+		if !w.running(i) {
 			continue
 		}
-		if (int64(w.now)/step.Milliseconds()+int64(i.index))%(lendTick/step).Nanoseconds() == 0 {
+		if (int64(w.now)/step.Milliseconds()+int64(i.index))%(lendInterval/step).Nanoseconds() == 0 {
 			w.tick(i)
 		}
 		for _, l := range w.limits {
 			for n := w.poisson(demand(l, i) * step.Seconds()); n > 0; n-- {
-				w.asked++
+				w.requests++
 				if w.now < i.denied[l.endpoint] {
 					continue
 				}
-				v := w.ask(i, l)
+				v := w.requestPermit(i, l)
 				if v.Granted {
 					w.sent[l.endpoint] = append(w.sent[l.endpoint], w.now)
 					continue
@@ -151,35 +153,35 @@
 	}
 }
 
-func (w *world) ask(i *instance, l limited) permit.Verdict {
+func (w *world) requestPermit(i *instance, l limitedEndpoint) permit.Verdict {
 	a := permit.Ask{Endpoint: l.endpoint, Zone: l.zone, Rate: l.rate}
 	for _, zone := range []string{l.zone, i.zone} {
 		f := w.first(i, zone)
 		if f == nil || f == i {
 			break
 		}
-		w.count(a, permit.Verdict{})
+		w.countExchange(a, permit.Verdict{})
 		if w.reaches(i, f) {
-			w.counts(f)
+			w.updateCount(f)
 			return f.issuer.Ask(w.now, a)
 		}
-		i.silent[f] = w.now.Add(probePause)
+		i.unresponsive[f] = w.now.Add(probeInterval)
 		if zone == i.zone {
 			break
 		}
 	}
-	w.counts(i)
+	w.updateCount(i)
 	return i.issuer.Ask(w.now, a)
 }
 
-// counts tells an issuer how many instances there are.
-func (w *world) counts(i *instance) {
-	i.issuer.Count(w.now, len(w.instances), w.now.Sub(i.began) >= youth)
+// updateCount sets the number of instances in an issuer.
+func (w *world) updateCount(i *instance) {
+	i.issuer.Count(w.now, len(w.instances), w.now.Sub(i.startedAt) >= discoveryTime)
 }
 
 func (w *world) tick(i *instance) {
-	w.counts(i)
-	if w.quiet {
+	w.updateCount(i)
+	if w.limitsUnknown {
 		return
 	}
 	w.probe(i)
@@ -200,16 +202,16 @@
 	}
 }
 
-// probe asks those who were silent whether they answer again.
+// probe checks whether unresponsive instances respond again.
 func (w *world) probe(i *instance) {
 	for _, o := range w.instances {
-		at, silent := i.silent[o]
+		at, silent := i.unresponsive[o]
 		if !silent || w.now < at {
 			continue
 		}
-		i.silent[o] = w.now.Add(probePause)
+		i.unresponsive[o] = w.now.Add(probeInterval)
 		if w.reaches(i, o) {
-			delete(i.silent, o)
+			delete(i.unresponsive, o)
 		}
 	}
 }
@@ -226,7 +228,7 @@
 	w.send(i, to, l, func() {})
 }
 
-// giveBack asks back what is lent; true if nothing is.
+// giveBack asks for the return of a loan. It returns true if nothing is lent.
 func (w *world) giveBack(i *instance, zone string) bool {
 	holder, lent := i.issuer.Borrower(w.now, zone)
 	if !lent {
@@ -237,14 +239,14 @@
 	return false
 }
 
-// send carries a loan there and the answer back, after which agreed is called.
+// send delivers a loan and its reply, after which agreed is called.
 func (w *world) send(i, to *instance, l permit.Loan, agreed func()) {
-	w.count(struct {
+	w.countExchange(struct {
 		permit.Loan
-		Digest uint64 `cbor:"4,keyasint"` // of the limits that are known
+		Digest uint64 `cbor:"4,keyasint"` // of the known limits
 	}{l, w.random.Uint64()}, struct{}{})
 	if !w.reaches(i, to) {
-		i.silent[to] = w.now.Add(probePause)
+		i.unresponsive[to] = w.now.Add(probeInterval)
 		return
 	}
 	w.post(to, func() {
@@ -255,24 +257,24 @@
 
 func (w *world) post(to *instance, do func()) {
 	at := w.now.Add(time.Duration(w.random.Int64N(int64(w.delay) + 1)))
-	w.mail = append(w.mail, letter{at: at, to: to, life: to.life, do: do})
+	w.inFlight = append(w.inFlight, delivery{at: at, to: to, life: to.life, do: do})
 }
 
 func (w *world) deliver() {
-	mail := w.mail
-	w.mail = nil
-	for _, l := range mail {
+	pending := w.inFlight
+	w.inFlight = nil
+	for _, l := range pending {
 		switch {
-		case l.at > w.now || l.to.up == 0 && w.now < l.to.until:
-			w.mail = append(w.mail, l)
-		case l.to.up == 0 && l.to.life == l.life:
+		case l.at > w.now || l.to.restartAt == 0 && w.now < l.to.suspendedUntil:
+			w.inFlight = append(w.inFlight, l)
+		case l.to.restartAt == 0 && l.to.life == l.life:
 			l.do()
 		}
 	}
 }
 
-// count counts a message and its answer.
-func (w *world) count(there, back any) {
+// countExchange counts a message and its reply.
+func (w *world) countExchange(there, back any) {
 	for _, v := range []any{there, back} {
 		data, err := cbor.Marshal(v)
 		if err != nil {
@@ -293,28 +295,29 @@
 	return n
 }
 
-func (w *world) play(length time.Duration, demand func(limited, *instance) float64) {
+func (w *world) run(length time.Duration, demand func(limitedEndpoint, *instance) float64) {
 	for end := w.now.Add(length); w.now < end; {
 		w.step(demand)
 	}
 }
 
-// most is how many requests an endpoint got in any window that began at from or later.
-func (w *world) most(endpoint string, from clock.Millis) int {
-	list, most, first := w.sent[endpoint], 0, 0
+// maxInWindow returns the maximum number of requests an endpoint got in any window that
+// began at from or later.
+func (w *world) maxInWindow(endpoint string, from clock.Millis) int {
+	list, peak, first := w.sent[endpoint], 0, 0
 	for i, at := range list {
 		for list[first] < from && first < i || at.Sub(list[first]) > window {
 			first++
 		}
 		if list[first] >= from {
-			most = max(most, i-first+1)
+			peak = max(peak, i-first+1)
 		}
 	}
-	return most
+	return peak
 }
 
-// since is how many requests an endpoint got from a moment on.
-func (w *world) since(endpoint string, from clock.Millis) int {
+// countSince returns how many requests an endpoint got since from.
+func (w *world) countSince(endpoint string, from clock.Millis) int {
 	n := 0
 	for _, at := range w.sent[endpoint] {
 		if at >= from {
