--- a/internal/permit/world_test.go
+++ b/internal/permit/world_test.go
@@ -13,11 +13,9 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// The users' rule: in some 4 s an endpoint gets one and a half burstFactor its limit and five
-// requests burstExtra, at most.
+// The burst rule: within any 4 s an endpoint gets at most one and a half times its
+// limit plus five requests.
 const (
-	// The burst rule: within any 4 s an endpoint gets at most one and a half times its
-	// limit plus five requests.
 	window      = 4 * time.Second
 	burstFactor = 1.5
 	burstExtra  = 5
