--- a/internal/throttle/loans.go
+++ b/internal/throttle/loans.go
@@ -9,28 +9,28 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// tick lends what this instance has, while there are limits, and asks once whether there
-// are any.
+// tick renews this instance's loans while there are limits. Without limits it only
+// queries once whether there are any.
 func (t *Throttle) tick(ctx context.Context) {
-	now, away := t.Now(), t.StoreAway()
+	now, storeDown := t.Now(), t.StoreAway()
 	t.mu.Lock()
-	if !away {
-		t.stored += tickEvery
+	if !storeDown {
+		t.storeTime += tickInterval
 	}
-	t.count(now)
+	t.updateCount(now)
 	t.table.Expire(now)
 	t.issuer.Keep(t.table.Binds)
-	t.forget(now)
+	t.expire(now)
 	active := !t.table.Empty()
 	t.active.Store(active)
-	zones, met := t.table.Zones(), t.met
+	zones, synced := t.table.Zones(), t.synced
 	t.Scope.Gauge("endpoints_limited").Update(float64(t.table.Size()))
 	t.mu.Unlock()
-	if !active && met {
+	if !active && synced {
 		return
 	}
 	t.probe(ctx, append(zones, t.Zone))
-	first, known := t.first(t.Zone)
+	first, known := t.firstResponsive(t.Zone)
 	if !known {
 		return
 	}
@@ -41,56 +41,58 @@
 		t.lend(ctx, first, own)
 		return
 	}
-	if !t.giveBack(ctx, "") {
+	if !t.recall(ctx, "") {
 		return
 	}
-	t.lendOn(ctx, zones)
-	if !met {
-		t.inquire(ctx)
+	t.lendToZones(ctx, zones)
+	if !synced {
+		t.queryOtherZones(ctx)
 	}
 }
 
-// inquire asks the first of the other zones what they know: whoever is the first of its
-// own has nobody else to hear of limits from.
-func (t *Throttle) inquire(ctx context.Context) {
+// queryOtherZones queries the first instance of each other zone for limits: the first
+// instance of a zone lends to no one in its zone that could reply with them.
+func (t *Throttle) queryOtherZones(ctx context.Context) {
 	for _, zone := range t.Roster.Zones() {
-		first, known := t.first(zone)
+		first, known := t.firstResponsive(zone)
 		if zone != t.Zone && known {
-			t.offer(ctx, first, permit.Loan{Zone: noZone}, func() {})
+			t.sendLoan(ctx, first, permit.Loan{Zone: noZone}, func() {})
 		}
 	}
 }
 
-// count tells the issuer how many instances there are. One that lost the store before it
-// had seen them all would take a whole limit for its own part. The caller holds the lock.
-func (t *Throttle) count(now clock.Millis) {
-	t.issuer.Count(now, t.Roster.Size(), t.stored >= youth)
+// updateCount tells the issuer how many instances there are. An instance that lost the
+// store before it had seen all others would otherwise take a whole limit for its own
+// share. The caller holds the lock.
+func (t *Throttle) updateCount(now clock.Millis) {
+	t.issuer.Count(now, t.Roster.Size(), t.storeTime >= discoveryTime)
 }
 
-// probe asks those who were silent whether they answer again, if they would be the first
-// of a zone that matters. What is lent to one that does not answer is of use to nobody.
+// probe sends probes to unresponsive instances that rank before the first responsive
+// one of a relevant zone. What is lent to an instance that does not respond is lost to
+// the others.
 func (t *Throttle) probe(ctx context.Context, zones []string) {
 	now := t.Now()
 	for _, zone := range zones {
-		for _, i := range t.order(zone) {
+		for _, i := range t.ranked(zone) {
 			t.mu.Lock()
-			s, silent := t.silent[i.Fingerprint]
+			s, unresponsive := t.unresponsive[i.Fingerprint]
 			t.mu.Unlock()
-			if !silent {
+			if !unresponsive {
 				break
 			}
-			if now >= s.probeAt {
-				t.offer(ctx, i, permit.Loan{Zone: noZone}, func() {})
+			if now >= s.nextProbe {
+				t.sendLoan(ctx, i, permit.Loan{Zone: noZone}, func() {})
 			}
 		}
 	}
 }
 
-// lendOn lends the zone's parts to the first of each other zone that has limited
-// endpoints.
-func (t *Throttle) lendOn(ctx context.Context, zones []string) {
+// lendToZones lends the zone's shares to the first instance of each other zone with
+// limited endpoints.
+func (t *Throttle) lendToZones(ctx context.Context, zones []string) {
 	for _, zone := range zones {
-		first, known := t.first(t.home(zone))
+		first, known := t.firstResponsive(t.issuerZone(zone))
 		if !known || first.Name == t.Name {
 			continue
 		}
@@ -101,7 +103,8 @@
 	}
 }
 
-// lend lends parts to an instance. What another one holds is asked back first.
+// lend lends shares to an instance. A loan that another instance still holds is
+// recalled first.
 func (t *Throttle) lend(ctx context.Context, to roster.Instance, l permit.Loan) {
 	if l.Parts == 0 {
 		return
@@ -111,95 +114,96 @@
 	holder, lent := t.issuer.Borrower(now, l.Zone)
 	if lent && holder != to.Name {
 		t.mu.Unlock()
-		t.giveBack(ctx, l.Zone)
+		t.recall(ctx, l.Zone)
 		return
 	}
-	if t.lending[to.Name] {
+	if t.pendingLoans[to.Name] {
 		t.mu.Unlock()
 		return
 	}
 	t.issuer.Lend(now, to.Name, l)
 	t.mu.Unlock()
-	t.offer(ctx, to, l, func() {})
+	t.sendLoan(ctx, to, l, func() {})
 }
 
-// giveBack asks back what is lent of a zone's endpoints. It returns true if nothing is.
-func (t *Throttle) giveBack(ctx context.Context, zone string) bool {
+// recall asks for the return of the loan for a zone's endpoints. It returns true if
+// there is none.
+func (t *Throttle) recall(ctx context.Context, zone string) bool {
 	t.mu.Lock()
 	holder, lent := t.issuer.Borrower(t.Now(), zone)
 	t.mu.Unlock()
 	if !lent {
 		return true
 	}
-	if i, known := t.Roster.Find(holder); known && !t.isSilent(i) {
-		t.offer(ctx, i, permit.Loan{Zone: zone}, func() { t.issuer.Returned(holder, zone) })
+	if i, known := t.Roster.Find(holder); known && !t.isUnresponsive(i) {
+		t.sendLoan(ctx, i, permit.Loan{Zone: zone}, func() { t.issuer.Returned(holder, zone) })
 	}
-	return false // until it answers, or the loan ends
+	return false // until the holder replies or the lease expires
 }
 
-// offer sends a loan; whoever does not answer holds nothing up. agreed is called with
-// the lock held.
-func (t *Throttle) offer(ctx context.Context, to roster.Instance, l permit.Loan, agreed func()) {
+// sendLoan sends a loan without waiting for the reply. onReply is called with the lock
+// held.
+func (t *Throttle) sendLoan(ctx context.Context, to roster.Instance, l permit.Loan, onReply func()) {
 	t.mu.Lock()
-	if t.lending[to.Name] {
+	if t.pendingLoans[to.Name] {
 		t.mu.Unlock()
 		return
 	}
-	t.lending[to.Name] = true
+	t.pendingLoans[to.Name] = true
 	m := loan{Loan: l, Digest: t.table.Digest()}
-	if now := t.Now(); now >= t.wholeAt[to.Name] {
-		m.Known, t.wholeAt[to.Name] = t.table.All(now), now.Add(wholeEvery)
+	if now := t.Now(); now >= t.nextFullSync[to.Name] {
+		m.Known, t.nextFullSync[to.Name] = t.table.All(now), now.Add(fullSyncInterval)
 	}
 	t.mu.Unlock()
 	go func() {
-		ctx, cancel := context.WithTimeout(ctx, lendWait)
+		ctx, cancel := context.WithTimeout(ctx, loanTimeout)
 		defer cancel()
-		v, err := peer.Ask[loan, told](ctx, t.Transport, to.Address, topicLend, m)
+		v, err := peer.Ask[loan, limitsMessage](ctx, t.Transport, to.Address, topicLoan, m)
 		t.mu.Lock()
-		delete(t.lending, to.Name)
+		delete(t.pendingLoans, to.Name)
 		if err == nil {
-			agreed()
-			t.met = true
-			delete(t.silent, to.Fingerprint)
+			onReply()
+			t.synced = true
+			delete(t.unresponsive, to.Fingerprint)
 			if v.Differs {
-				delete(t.wholeAt, to.Name)
+				delete(t.nextFullSync, to.Name)
 			}
 		}
 		t.mu.Unlock()
 		if err != nil {
 			t.Scope.Counter("loans_unanswered").Inc(1)
-			t.passOver(to)
+			t.markUnresponsive(to)
 			return
 		}
-		t.take(v.Known, false)
+		t.merge(v.Known, false)
 	}()
 }
 
-// forget drops what is past. The caller holds the lock.
-func (t *Throttle) forget(now clock.Millis) {
+// expire removes outdated state. The caller holds the lock.
+func (t *Throttle) expire(now clock.Millis) {
 	for endpoint, d := range t.denials {
-		if !t.table.Binds(endpoint) || d.left(now, leastUrgent) <= 0 {
+		if !t.table.Binds(endpoint) || d.left(now, lowestPriority) <= 0 {
 			delete(t.denials, endpoint)
 		}
 	}
-	for certificate, s := range t.silent {
-		if now.Sub(s.probeAt) > probeGivenUp {
-			delete(t.silent, certificate)
+	for certificate, s := range t.unresponsive {
+		if now.Sub(s.nextProbe) > unresponsiveRetention {
+			delete(t.unresponsive, certificate)
 		}
 	}
-	for name, at := range t.wholeAt {
+	for name, at := range t.nextFullSync {
 		if now > at {
-			delete(t.wholeAt, name)
+			delete(t.nextFullSync, name)
 		}
 	}
-	for f, at := range t.toldAt {
-		if now.Sub(at) >= tellPause {
-			delete(t.toldAt, f)
+	for f, at := range t.announcedAt {
+		if now.Sub(at) >= minAnnounceInterval {
+			delete(t.announcedAt, f)
 		}
 	}
-	for endpoint, s := range t.spares {
+	for endpoint, s := range t.returned {
 		if now >= s.until {
-			delete(t.spares, endpoint)
+			delete(t.returned, endpoint)
 		}
 	}
 }
--- a/internal/throttle/peers.go
+++ b/internal/throttle/peers.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// passersOn is how many instances of a zone pass on what other zones tell: if one
-	// is dead or cut off, the other one is told.
-	passersOn = 2
-	// noZone is the zone of no endpoint: an empty loan of its limits changes nothing.
+	// forwardersPerZone is how many instances of a zone forward announcements from
+	// other zones. There are two in case one is dead or cut off.
+	forwardersPerZone = 2
+	// noZone is a zone without endpoints: an empty loan for it changes nothing.
 	noZone = "\x00"
-	// leastUrgent is beyond all priorities.
-	leastUrgent = 1 << 30
+	// lowestPriority is less urgent than all priorities in use.
+	lowestPriority = 1 << 30
 )
 
-// near are the other instances of the zone.
-func (t *Throttle) near() []netip.AddrPort {
+// zonePeers returns the addresses of the other instances of this zone.
+func (t *Throttle) zonePeers() []netip.AddrPort {
 	var list []netip.AddrPort
-	for _, i := range t.order(t.Zone) {
+	for _, i := range t.ranked(t.Zone) {
 		if i.Name != t.Name {
 			list = append(list, i.Address)
 		}
@@ -30,27 +30,27 @@
 	return list
 }
 
-// far are those of other zones that pass on.
-func (t *Throttle) far() []netip.AddrPort {
+// remoteForwarders returns the addresses of the forwarders of the other zones.
+func (t *Throttle) remoteForwarders() []netip.AddrPort {
 	var list []netip.AddrPort
-	for _, i := range t.Roster.FirstOfOthers(t.Zone, roleIssuer, passersOn) {
+	for _, i := range t.Roster.FirstOfOthers(t.Zone, roleIssuer, forwardersPerZone) {
 		list = append(list, i.Address)
 	}
 	return list
 }
 
-func (t *Throttle) send(to []netip.AddrPort, v told) {
-	unsent := peer.SendAll(t.Transport, to, topicTold, v)
+func (t *Throttle) sendLimits(to []netip.AddrPort, v limitsMessage) {
+	unsent := peer.SendAll(t.Transport, to, topicLimits, v)
 	t.Scope.Counter("throttle_send_failed").Inc(int64(unsent))
 }
 
-// lineOf is the line that tells a limit.
-func lineOf(s ratelimit.Statement) eventlog.Line {
-	n := eventlog.Line{Event: eventlog.EndpointLimited, Endpoint: s.Endpoint, Zone: s.Zone, Outcome: "limited"}
+// limitLine returns the log line for a limit.
+func limitLine(s ratelimit.Statement) eventlog.Line {
+	line := eventlog.Line{Event: eventlog.EndpointLimited, Endpoint: s.Endpoint, Zone: s.Zone, Outcome: "limited"}
 	if s.Over {
-		n.Outcome = "unlimited"
-		return n
+		line.Outcome = "unlimited"
+		return line
 	}
-	n.Detail = fmt.Sprintf("%g requests a second", s.Rate)
-	return n
+	line.Detail = fmt.Sprintf("%g requests a second", s.Rate)
+	return line
 }
--- a/internal/throttle/permits.go
+++ b/internal/throttle/permits.go
@@ -11,8 +11,9 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// Take gets a permit for one request to an endpoint. It returns 0 if the request may be
-// sent, as it always may to an endpoint without a limit; else when there may be a permit.
+// Take acquires a permit for one request to an endpoint. It returns 0 if the request
+// may be sent, which is always so for an endpoint without a limit, or else the time
+// until a permit may be available.
 func (t *Throttle) Take(ctx context.Context, endpoint string, priority int) time.Duration {
 	if !t.active.Load() {
 		return 0
@@ -20,7 +21,7 @@
 	now := t.Now()
 	t.mu.Lock()
 	rate, zone, limited := t.table.Limit(endpoint)
-	if !limited || t.takeSpare(now, endpoint) {
+	if !limited || t.takeReturned(now, endpoint) {
 		t.mu.Unlock()
 		return 0
 	}
@@ -29,7 +30,7 @@
 	if left > 0 {
 		return left
 	}
-	v := t.ask(ctx, permit.Ask{Endpoint: endpoint, Zone: zone, Rate: rate, Priority: priority})
+	v := t.requestPermit(ctx, permit.Ask{Endpoint: endpoint, Zone: zone, Rate: rate, Priority: priority})
 	if !v.Granted {
 		t.Scope.Counter("permits_denied").Inc(1)
 		t.deny(endpoint, priority, v.After)
@@ -39,7 +40,7 @@
 	return 0
 }
 
-// Return gives back a permit that was not used.
+// Return gives back an unused permit.
 func (t *Throttle) Return(endpoint string) {
 	if !t.active.Load() {
 		return
@@ -48,12 +49,12 @@
 	limited := t.table.Binds(endpoint)
 	t.mu.Unlock()
 	if limited {
-		t.keep(endpoint)
+		t.keepReturned(endpoint)
 	}
 }
 
-// Withheld is for how long no request of a priority may go to which endpoints, as far as
-// that is known without asking.
+// Withheld returns the endpoints to which no request of a priority may be sent, and for
+// how long, as far as that is known locally.
 func (t *Throttle) Withheld(priority int) map[string]time.Duration {
 	if !t.active.Load() {
 		return nil
@@ -75,8 +76,9 @@
 	return list
 }
 
-// Spent are the endpoints of the own zone for which this instance has no permit left,
-// and how long it has none for the first of them. Where it issues them, nobody has one.
+// Spent returns the endpoints of this instance's zone for which it has no permit left,
+// and the shortest time until it has one again. Where this instance is the issuer, that
+// holds for all instances.
 func (t *Throttle) Spent() (endpoints []string, next time.Duration) {
 	if !t.active.Load() {
 		return nil, 0
@@ -100,39 +102,39 @@
 	return endpoints, next
 }
 
-// ask asks the first of the endpoint's zone, then the first of the own zone, and in the
-// end this instance's own part.
-func (t *Throttle) ask(ctx context.Context, a permit.Ask) permit.Verdict {
-	for _, zone := range []string{t.home(a.Zone), t.Zone} {
-		i, known := t.first(zone)
+// requestPermit requests a permit from the first instance of the endpoint's zone, then
+// from the first of this zone, and finally from this instance's own shares.
+func (t *Throttle) requestPermit(ctx context.Context, a permit.Ask) permit.Verdict {
+	for _, zone := range []string{t.issuerZone(a.Zone), t.Zone} {
+		i, known := t.firstResponsive(zone)
 		if !known {
 			continue
 		}
 		if i.Name == t.Name {
 			break
 		}
-		v, err := t.askAt(ctx, i, a)
+		v, err := t.requestFrom(ctx, i, a)
 		if err == nil {
 			return v
 		}
-		if ctx.Err() != nil { // the request is over, which says nothing of who was asked
-			return permit.Verdict{After: askWait}
+		if ctx.Err() != nil { // the request was cancelled, which says nothing about the issuer
+			return permit.Verdict{After: permitTimeout}
 		}
 		t.Scope.Counter("permits_unanswered").Inc(1)
-		t.passOver(i)
+		t.markUnresponsive(i)
 	}
 	return t.issue(a)
 }
 
-func (t *Throttle) askAt(ctx context.Context, i roster.Instance, a permit.Ask) (permit.Verdict, error) {
-	ctx, cancel := context.WithTimeout(ctx, askWait)
+func (t *Throttle) requestFrom(ctx context.Context, i roster.Instance, a permit.Ask) (permit.Verdict, error) {
+	ctx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
-	return peer.Ask[permit.Ask, permit.Verdict](ctx, t.Transport, i.Address, topicAsk, a)
+	return peer.Ask[permit.Ask, permit.Verdict](ctx, t.Transport, i.Address, topicPermit, a)
 }
 
-// home is the zone whose first instance issues permits for a zone's endpoints: that zone,
-// or the first of all zones if it has no instances.
-func (t *Throttle) home(zone string) string {
+// issuerZone returns the zone whose first instance issues permits for a zone's
+// endpoints: that zone, or the first of all zones if it has no instances.
+func (t *Throttle) issuerZone(zone string) string {
 	zones := t.Roster.Zones()
 	if len(zones) == 0 || slices.Contains(zones, zone) {
 		return zone
@@ -140,45 +142,45 @@
 	return zones[0]
 }
 
-// issue answers from this instance's own parts and those that it borrowed, at the rate
-// that it knows itself, if it does.
+// issue decides on a permit from this instance's own and borrowed shares. A limit known
+// here takes precedence over the rate in the request.
 func (t *Throttle) issue(a permit.Ask) permit.Verdict {
 	now := t.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.count(now)
+	t.updateCount(now)
 	if rate, _, limited := t.table.Limit(a.Endpoint); limited {
 		a.Rate = rate
 	}
 	return t.issuer.Ask(now, a)
 }
 
-// first is the first instance of a zone that is not silent.
-func (t *Throttle) first(zone string) (i roster.Instance, known bool) {
-	for _, i := range t.order(zone) {
-		if i.Name == t.Name || !t.isSilent(i) {
+// firstResponsive returns the first instance of a zone that is not marked unresponsive.
+func (t *Throttle) firstResponsive(zone string) (i roster.Instance, known bool) {
+	for _, i := range t.ranked(zone) {
+		if i.Name == t.Name || !t.isUnresponsive(i) {
 			return i, true
 		}
 	}
 	return roster.Instance{}, false
 }
 
-// order is that of a zone's instances.
-func (t *Throttle) order(zone string) []roster.Instance { return t.Roster.Ranked(zone, roleIssuer) }
+// ranked returns the instances of a zone in the order in which they become issuer.
+func (t *Throttle) ranked(zone string) []roster.Instance { return t.Roster.Ranked(zone, roleIssuer) }
 
-func (t *Throttle) isSilent(i roster.Instance) bool {
+func (t *Throttle) isUnresponsive(i roster.Instance) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	_, silent := t.silent[i.Fingerprint]
-	return silent
+	_, unresponsive := t.unresponsive[i.Fingerprint]
+	return unresponsive
 }
 
-// passOver has an instance that did not answer left out until it does.
-func (t *Throttle) passOver(i roster.Instance) {
+// markUnresponsive excludes an instance that did not respond until it answers a probe.
+func (t *Throttle) markUnresponsive(i roster.Instance) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	pause := min(max(2*t.silent[i.Fingerprint].pause, probeFirst), probeMost)
-	t.silent[i.Fingerprint] = silence{probeAt: t.Now().Add(pause), pause: pause}
+	delay := min(max(2*t.unresponsive[i.Fingerprint].delay, initialProbeDelay), maxProbeDelay)
+	t.unresponsive[i.Fingerprint] = probeState{nextProbe: t.Now().Add(delay), delay: delay}
 }
 
 func (t *Throttle) deny(endpoint string, priority int, after time.Duration) {
@@ -192,8 +194,8 @@
 	d[priority] = t.Now().Add(min(after, permit.DenyMost))
 }
 
-// left is how long a priority is denied: what a more urgent one did not get, a less
-// urgent one does not get either.
+// left returns how long requests of a priority are denied. A denial also applies to all
+// less urgent priorities.
 func (d denial) left(now clock.Millis, priority int) time.Duration {
 	var longest time.Duration
 	for p, until := range d {
@@ -204,27 +206,27 @@
 	return longest
 }
 
-// takeSpare uses a permit that was kept here. The caller holds the lock.
-func (t *Throttle) takeSpare(now clock.Millis, endpoint string) bool {
-	s, kept := t.spares[endpoint]
+// takeReturned uses a returned permit. The caller holds the lock.
+func (t *Throttle) takeReturned(now clock.Millis, endpoint string) bool {
+	s, kept := t.returned[endpoint]
 	if !kept {
 		return false
 	}
-	s.permits--
-	t.spares[endpoint] = s
-	if s.permits <= 0 || now >= s.until {
-		delete(t.spares, endpoint)
+	s.count--
+	t.returned[endpoint] = s
+	if s.count <= 0 || now >= s.until {
+		delete(t.returned, endpoint)
 	}
 	return now < s.until
 }
 
-func (t *Throttle) keep(endpoint string) {
+func (t *Throttle) keepReturned(endpoint string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.Now()
-	s := t.spares[endpoint]
+	s := t.returned[endpoint]
 	if now >= s.until {
-		s.permits = 0
+		s.count = 0
 	}
-	t.spares[endpoint] = spare{permits: s.permits + 1, until: now.Add(spareFor)}
+	t.returned[endpoint] = returnedPermits{count: s.count + 1, until: now.Add(returnedLifetime)}
 }
--- a/internal/throttle/throttle.go
+++ b/internal/throttle/throttle.go
@@ -1,7 +1,8 @@
-// Package throttle keeps all instances together to how many requests a second endpoints
-// take. What one instance hears in an answer is told to all; permits for requests to a
-// limited endpoint are asked of whoever issues them (package permit). While no endpoint
-// names a limit nothing is sent and nothing is waited for.
+// Package throttle keeps all instances together within the request rates that endpoints
+// accept. A limit that one instance reads from a response is announced to all. A permit
+// for a request to a limited endpoint is requested from the instance that issues them
+// (see package permit). While no endpoint has a limit, nothing is sent and no request
+// waits.
 package throttle
 
 import (
@@ -24,47 +25,52 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// The topics between instances.
+// Topics of messages between instances.
 const (
-	topicAsk  = "throttle.ask"
-	topicLend = "throttle.lend"
-	topicTold = "throttle.told"
+	topicPermit = "throttle.ask"
+	topicLoan   = "throttle.lend"
+	topicLimits = "throttle.told"
 )
 
-// roleIssuer is the role of issuing permits for a zone's endpoints. It is the planner's,
-// who then sees, as it gives out engines, which of them have permits left.
+// roleIssuer is the role of issuing permits for a zone's endpoints. It is the planner's
+// role, so that the planner sees which endpoints have permits left when it assigns
+// engines.
 const roleIssuer = "planner"
 
 const (
-	// tickEvery is how often parts are lent anew: twice within the shortest loan's time.
-	// The first of a zone of 75 gets 190 loans a second.
-	tickEvery = 400 * time.Millisecond
-	// askWait bounds a question. A round trip between zones takes 3 ms; a slowed
-	// instance takes some tens.
-	askWait = 60 * time.Millisecond
-	// lendWait bounds the answer to a loan, for which no request waits.
-	lendWait = 200 * time.Millisecond
-	// probeFirst and probeMost are after how long an instance that did not answer is
-	// asked whether it does again, at first and in the end.
-	probeFirst = tickEvery
-	probeMost  = 2 * time.Second
-	// probeGivenUp is how long one is remembered that nobody needs to ask any more.
-	probeGivenUp = time.Minute
-	// spareFor is how long a permit that was given back may be used by another request
-	// of this instance.
-	spareFor = 200 * time.Millisecond
-	// tellPause is the least time between two messages to all of one endpoint, whose rate
-	// may change with each answer; loans tell what differs in between.
-	tellPause = 500 * time.Millisecond
-	// wholeEvery is how often an instance tells and is told all that is known, also if
-	// both know the same: a limit that no answer names for long is forgotten, and who
-	// sends nothing hears of no answer but so.
-	wholeEvery = 8 * time.Second
-	// youth is for how long a process must have had the store to know all other instances.
-	youth = 3 * time.Second
+	// tickInterval is how often loans are renewed: at least twice within the shortest
+	// lease. The first instance of a zone of 75 receives 190 loans a second.
+	tickInterval = 400 * time.Millisecond
+	// permitTimeout is the timeout of a permit request. A round trip between zones
+	// takes 3 ms; a slow instance takes tens of milliseconds.
+	permitTimeout = 60 * time.Millisecond
+	// loanTimeout is the timeout of a loan message. No request waits for it.
+	loanTimeout = 200 * time.Millisecond
+	// initialProbeDelay and maxProbeDelay bound the delay between probes of an
+	// unresponsive instance; the delay doubles from one to the other.
+	initialProbeDelay = tickInterval
+	maxProbeDelay     = 2 * time.Second
+	// unresponsiveRetention is how long an unresponsive instance is remembered after
+	// its next probe was due, when it is no longer probed.
+	unresponsiveRetention = time.Minute
+	// returnedLifetime is how long a returned permit may be used by another request of
+	// this instance.
+	returnedLifetime = 200 * time.Millisecond
+	// minAnnounceInterval is the minimum time between two announcements of the same
+	// endpoint, whose rate may change with each response. Loan messages carry the
+	// differences in between.
+	minAnnounceInterval = 500 * time.Millisecond
+	// fullSyncInterval is how often two instances exchange all known limits, even if
+	// their digests match. A limit expires when no response confirms it, and an
+	// instance that sends no requests to the endpoint sees no response: only this
+	// exchange refreshes the limit there.
+	fullSyncInterval = 8 * time.Second
+	// discoveryTime is how long a process must have had access to the store before it
+	// can be expected to know all other instances.
+	discoveryTime = 3 * time.Second
 )
 
-// Options are what a Throttle works with.
+// Options configure a Throttle.
 type Options struct {
 	Name, Zone string
 	Transport  *peer.Transport
@@ -72,101 +78,105 @@
 	Log        *eventlog.Log
 	Scope      tally.Scope
 	Now        func() clock.Millis
-	// StoreAway says whether the store does not answer this instance.
+	// StoreAway reports whether the store is unreachable from this instance.
 	StoreAway func() bool
-	// ZoneOf is the zone of a life of an endpoint; the own one if that is not known.
+	// ZoneOf returns the zone of an endpoint ID, or this instance's zone if it is not
+	// known.
 	ZoneOf func(endpoint string) string
 }
 
-// Throttle is one instance's part. It is safe for concurrent use.
+// Throttle enforces the limits on one instance. It is safe for concurrent use.
 type Throttle struct {
 	Options
-	active atomic.Bool // something is known: only then requests are looked at
+	active atomic.Bool // some limit is known; otherwise requests are not checked
 
-	mu      sync.Mutex // never held while sending
-	table   *ratelimit.Table
-	issuer  *permit.Issuer
-	denials map[string]denial
-	spares  map[string]spare
-	silent  map[string]silence      // who did not answer, by certificate
-	met     bool                    // a peer has told what it knows
-	wholeAt map[string]clock.Millis // when the next loan to an instance tells all that is known
-	toldAt  map[fact]clock.Millis   // when peers were last told of an endpoint
-	stored  time.Duration           // for how long this process has had the store
-	lending map[string]bool         // to whom a loan is on its way, by name
+	mu           sync.Mutex // not held while sending
+	table        *ratelimit.Table
+	issuer       *permit.Issuer
+	denials      map[string]denial
+	returned     map[string]returnedPermits
+	unresponsive map[string]probeState         // by certificate fingerprint
+	synced       bool                          // a peer has sent the limits it knows
+	nextFullSync map[string]clock.Millis       // by instance name
+	announcedAt  map[announcement]clock.Millis // when each was last sent
+	storeTime    time.Duration                 // how long this process has had access to the store
+	pendingLoans map[string]bool               // instance names with a loan message in flight
 }
 
-// denial is until when no permit of an endpoint is to be had, by priority.
+// denial maps a priority to the time before which no permit is available for it.
 type denial map[int]clock.Millis
 
-// spare is permits that were given back here.
-type spare struct {
-	permits int
-	until   clock.Millis
+// returnedPermits are unused permits given back by requests of this instance.
+type returnedPermits struct {
+	count int
+	until clock.Millis
 }
 
-// silence is that of an instance which is asked nothing, and lent nothing, until it has
-// answered a question that nobody waits for.
-type silence struct {
-	probeAt clock.Millis
-	pause   time.Duration // to the next such question
+// probeState belongs to an unresponsive instance. It gets no permit requests and no
+// loans until it has answered a probe.
+type probeState struct {
+	nextProbe clock.Millis
+	delay     time.Duration // to the probe after that
 }
 
-// fact is what peers are told of an endpoint: its limit, or that this is over.
-type fact struct {
+// announcement is what is announced of an endpoint: its limit, or that the limit was
+// lifted.
+type announcement struct {
 	endpoint string
-	over     bool
+	lifted   bool
 }
 
-// New returns a throttle that does not run yet.
+// New returns a throttle that is not running yet.
 func New(o Options) *Throttle {
 	return &Throttle{
 		Options: o, table: ratelimit.NewTable(), issuer: permit.New(rand.Float64),
-		denials: map[string]denial{}, spares: map[string]spare{}, silent: map[string]silence{},
-		lending: map[string]bool{}, wholeAt: map[string]clock.Millis{}, toldAt: map[fact]clock.Millis{},
+		denials: map[string]denial{}, returned: map[string]returnedPermits{}, unresponsive: map[string]probeState{},
+		pendingLoans: map[string]bool{}, nextFullSync: map[string]clock.Millis{}, announcedAt: map[announcement]clock.Millis{},
 	}
 }
 
-// loan lends parts. The answer is told, which has nothing in it if both know the same.
+// loan lends shares. The reply is a limitsMessage, empty if both sides know the same
+// limits.
 type loan struct {
 	permit.Loan
 	Known  []ratelimit.Statement `cbor:"3,keyasint,omitempty"`
-	Digest uint64                `cbor:"4,keyasint"` // of what the lender knows
+	Digest uint64                `cbor:"4,keyasint"` // of the limits that the lender knows
 }
 
-// told is what an instance knows of limits.
-type told struct {
+// limitsMessage holds the limits that an instance knows.
+type limitsMessage struct {
 	Known   []ratelimit.Statement `cbor:"1,keyasint,omitempty"`
-	PassOn  bool                  `cbor:"2,keyasint,omitempty"` // to the receiver's zone
-	Differs bool                  `cbor:"3,keyasint,omitempty"` // the lender knew something else
+	Forward bool                  `cbor:"2,keyasint,omitempty"` // to the receiver's zone
+	Differs bool                  `cbor:"3,keyasint,omitempty"` // the lender's digest did not match
 }
 
-// Register adds the handlers of other instances' messages.
+// Register adds the handlers for messages from other instances.
 func (t *Throttle) Register(r *message.Router) {
-	peer.Answer(r, t.Transport, topicAsk, func(_ context.Context, _ peer.Sender, a permit.Ask) permit.Verdict {
+	peer.Answer(r, t.Transport, topicPermit, func(_ context.Context, _ peer.Sender, a permit.Ask) permit.Verdict {
 		return t.issue(a)
 	})
-	peer.Answer(r, t.Transport, topicLend, func(_ context.Context, from peer.Sender, l loan) told {
-		t.take(l.Known, true)
+	peer.Answer(r, t.Transport, topicLoan, func(_ context.Context, from peer.Sender, l loan) limitsMessage {
+		t.merge(l.Known, true)
 		t.mu.Lock()
 		defer t.mu.Unlock()
 		now := t.Now()
 		t.issuer.Borrow(now, from.Name, l.Loan)
 		differs := t.table.Digest() != l.Digest
 		if !differs && len(l.Known) == 0 {
-			return told{}
+			return limitsMessage{}
 		}
-		return told{Known: t.table.All(now), Differs: differs}
+		return limitsMessage{Known: t.table.All(now), Differs: differs}
 	})
-	peer.Handle(r, t.Transport, topicTold, func(_ peer.Sender, v told) { t.take(v.Known, v.PassOn) })
+	peer.Handle(r, t.Transport, topicLimits, func(_ peer.Sender, v limitsMessage) { t.merge(v.Known, v.Forward) })
 }
 
-// Run lends parts and forgets what is over until ctx ends.
+// Run renews loans and removes expired state until ctx ends.
 func (t *Throttle) Run(ctx context.Context) {
-	ticker.Every(ctx, tickEvery, func() { t.tick(ctx) })
+	ticker.Every(ctx, tickInterval, func() { t.tick(ctx) })
 }
 
-// Named takes that an answer of an endpoint names how many requests a second it takes.
+// Named records that a response from an endpoint named a limit of rate requests a
+// second.
 func (t *Throttle) Named(endpoint string, rate float64) {
 	t.mu.Lock()
 	_, zone, known := t.table.Limit(endpoint)
@@ -176,23 +186,24 @@
 	}
 	t.mu.Lock()
 	now := t.Now()
-	news := t.table.Named(now, endpoint, zone, rate)
-	tells := news && t.mayTell(now, fact{endpoint, false})
+	changed := t.table.Named(now, endpoint, zone, rate)
+	notify := changed && t.mayAnnounce(now, announcement{endpoint, false})
 	t.active.Store(true)
 	t.mu.Unlock()
-	if news {
-		t.tellAll(ratelimit.Statement{Endpoint: endpoint, Zone: zone, Rate: rate}, tells)
+	if changed {
+		t.announce(ratelimit.Statement{Endpoint: endpoint, Zone: zone, Rate: rate}, notify)
 	}
 }
 
-// Warming takes that an endpoint is cold for some time and takes no more than a rate
-// meanwhile. All instances hear it with its entry, so nobody is told.
+// Warming records that an endpoint is cold for the time left and limited to rate
+// meanwhile. Each instance learns this from the endpoint's entry in the store, so it is
+// not announced.
 func (t *Throttle) Warming(endpoint, zone string, rate float64, left time.Duration) {
 	t.mu.Lock()
-	news := t.table.Warming(t.Now(), endpoint, zone, rate, left)
+	changed := t.table.Warming(t.Now(), endpoint, zone, rate, left)
 	t.active.Store(true)
 	t.mu.Unlock()
-	if news {
+	if changed {
 		t.Scope.Counter("endpoints_cold").Inc(1)
 		t.Log.Write(eventlog.Line{
 			Event: eventlog.EndpointLimited, Outcome: "cold", Endpoint: endpoint, Zone: zone, Wait: left,
@@ -201,70 +212,71 @@
 	}
 }
 
-// mayTell says whether peers may be told of an endpoint again, and notes that they are.
-// The caller holds the lock.
-func (t *Throttle) mayTell(now clock.Millis, f fact) bool {
-	if at, told := t.toldAt[f]; told && now.Sub(at) < tellPause {
+// mayAnnounce reports whether an announcement may be sent again, and if so records that
+// it is. The caller holds the lock.
+func (t *Throttle) mayAnnounce(now clock.Millis, f announcement) bool {
+	if at, announced := t.announcedAt[f]; announced && now.Sub(at) < minAnnounceInterval {
 		return false
 	}
-	t.toldAt[f] = now
+	t.announcedAt[f] = now
 	return true
 }
 
-// Unnamed takes that an endpoint answered a request well and named no limit; sent is
-// when the request was.
+// Unnamed records that an endpoint answered a request successfully without naming a
+// limit. The request was sent at the time sent.
 func (t *Throttle) Unnamed(endpoint string, sent clock.Millis) {
 	if !t.active.Load() {
 		return
 	}
 	t.mu.Lock()
 	now := t.Now()
-	news := t.table.Unnamed(now, endpoint, sent)
-	tells := news && t.mayTell(now, fact{endpoint, true})
+	changed := t.table.Unnamed(now, endpoint, sent)
+	notify := changed && t.mayAnnounce(now, announcement{endpoint, true})
 	t.mu.Unlock()
-	if news {
-		t.tellAll(ratelimit.Statement{Endpoint: endpoint, Over: true}, tells)
+	if changed {
+		t.announce(ratelimit.Statement{Endpoint: endpoint, Over: true}, notify)
 	}
 }
 
-// take merges what a peer knows; news goes on to the own zone if passOn is set.
-func (t *Throttle) take(list []ratelimit.Statement, passOn bool) {
+// merge merges the limits that a peer knows. If forward is set, changes are sent on to
+// this instance's zone.
+func (t *Throttle) merge(list []ratelimit.Statement, forward bool) {
 	if len(list) == 0 {
 		return
 	}
 	t.mu.Lock()
-	news := t.table.Merge(t.Now(), list)
+	changes := t.table.Merge(t.Now(), list)
 	t.active.Store(!t.table.Empty())
 	t.mu.Unlock()
-	t.note(news)
-	if passOn && len(news) > 0 {
-		t.send(t.near(), told{Known: news})
+	t.applyChanges(changes)
+	if forward && len(changes) > 0 {
+		t.sendLimits(t.zonePeers(), limitsMessage{Known: changes})
 	}
 }
 
-// tellAll notes what an answer said and, if tells is set, tells the own zone, and those of
-// other zones who pass it on to theirs.
-func (t *Throttle) tellAll(s ratelimit.Statement, tells bool) {
-	news := []ratelimit.Statement{s}
-	t.note(news)
-	if !tells {
+// announce applies what a response said and, if notify is set, sends it to this zone's
+// instances and to the forwarders of the other zones.
+func (t *Throttle) announce(s ratelimit.Statement, notify bool) {
+	changes := []ratelimit.Statement{s}
+	t.applyChanges(changes)
+	if !notify {
 		return
 	}
-	t.send(t.near(), told{Known: news})
-	t.send(t.far(), told{Known: news, PassOn: true})
+	t.sendLimits(t.zonePeers(), limitsMessage{Known: changes})
+	t.sendLimits(t.remoteForwarders(), limitsMessage{Known: changes, Forward: true})
 }
 
-// note writes a line for each limit that is new, another one, or over. What was denied
-// under the one before may be asked for again.
-func (t *Throttle) note(news []ratelimit.Statement) {
+// applyChanges logs each limit that is new, changed or lifted. Denials under the
+// previous limit no longer hold.
+func (t *Throttle) applyChanges(changes []ratelimit.Statement) {
 	t.mu.Lock()
-	for _, s := range news {
+	for _, s := range changes {
 		delete(t.denials, s.Endpoint)
 	}
 	size := t.table.Size()
 	t.mu.Unlock()
-	for _, s := range news {
-		t.Log.Write(lineOf(s))
+	for _, s := range changes {
+		t.Log.Write(limitLine(s))
 	}
 	t.Scope.Gauge("endpoints_limited").Update(float64(size))
 }
--- a/internal/throttle/throttle_test.go
+++ b/internal/throttle/throttle_test.go
@@ -18,8 +18,8 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// node is a throttle with its transport. Its time stands still unless the test moves it,
-// and nothing ticks by itself.
+// node is a throttle with its transport. Its clock moves only when the test advances
+// it, and nothing ticks by itself.
 type node struct {
 	*Throttle
 	self roster.Instance
@@ -39,13 +39,14 @@
 		Name: name, Zone: "a", Transport: transport, Roster: roster.New(now), Log: log, Scope: tally.NoopScope, Now: now,
 		StoreAway: func() bool { return false }, ZoneOf: func(string) string { return "a" },
 	})
-	n.stored = youth
+	n.storeTime = discoveryTime
 	n.Roster.See(n.self)
 	peers.Route(t, n.Register)
 	return n
 }
 
-// pair returns the first of two instances, which issues permits, and the other one.
+// pair returns two instances: the first of the zone, which issues permits, and another
+// one.
 func pair(t *testing.T) (issuer, other *node) {
 	t.Helper()
 	issuer, other = startNode(t, "n1", 2), startNode(t, "n2", 1)
@@ -57,87 +58,90 @@
 	return issuer, other
 }
 
-// eventually waits for messages; it asserts only that they come.
+// eventually waits for messages; it asserts only that they arrive.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("never came true: %s", what)
+			t.Fatalf("condition never became true: %s", what)
 		}
 	}
 }
 
-// knows says whether a node knows a limit of e1.
-func (n *node) knows() bool {
+// knowsLimit reports whether the node knows a limit of e1.
+func (n *node) knowsLimit() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.table.Binds("e1")
 }
 
-// What one instance hears of a limit, and of its end, the other one knows.
-func TestLimitsAreTold(t *testing.T) {
+// A limit that one instance reads from a response, and its end, are announced to the
+// other.
+func TestLimitsAreAnnounced(t *testing.T) {
 	issuer, other := pair(t)
 	other.Named("e1", 4)
-	eventually(t, "the other one knows the limit", issuer.knows)
+	eventually(t, "the other instance knows the limit", issuer.knowsLimit)
 	other.now.Add(100)
 	issuer.now.Add(100)
 	other.Unnamed("e1", 10_050)
-	eventually(t, "the other one knows its end", func() bool { return !issuer.knows() })
+	eventually(t, "the other instance knows that the limit was lifted", func() bool { return !issuer.knowsLimit() })
 	qt.Assert(t, issuer.Take(t.Context(), "e1", 0), qt.Equals, time.Duration(0))
 }
 
-// A question that its own request ended says nothing of who was asked.
-func TestAskersThatLeave(t *testing.T) {
+// When a permit request ends because its own request was cancelled, the issuer must not
+// be marked unresponsive.
+func TestCancelledRequest(t *testing.T) {
 	issuer, other := pair(t)
 	issuer.Named("e1", 4)
-	eventually(t, "both know the limit", other.knows)
-	gone, cancel := context.WithCancel(t.Context())
+	eventually(t, "both instances know the limit", other.knowsLimit)
+	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	qt.Assert(t, other.Take(gone, "e1", 0) > 0, qt.IsTrue)
-	qt.Assert(t, other.silent, qt.HasLen, 0)
+	qt.Assert(t, other.Take(ctx, "e1", 0) > 0, qt.IsTrue)
+	qt.Assert(t, other.unresponsive, qt.HasLen, 0)
 }
 
-// Who begins while an endpoint names a limit is told of it, though nobody sends it
-// anything.
-func TestWhoBeginsIsTold(t *testing.T) {
+// An instance that starts while an endpoint is limited learns the limit although no
+// peer sends it anything unasked.
+func TestNewInstanceLearnsLimits(t *testing.T) {
 	issuer, other := pair(t)
-	other.Roster.Remove(roster.Departure{Name: "n2", Revision: 2}) // it hears nothing of what follows
+	other.Roster.Remove(roster.Departure{Name: "n2", Revision: 2}) // it receives none of the following messages
 	issuer.Roster.Remove(roster.Departure{Name: "n2", Revision: 2})
 	issuer.Named("e1", 4)
 	other.tick(t.Context())
-	eventually(t, "it knows the limit", other.knows)
+	eventually(t, "the instance knows the limit", other.knowsLimit)
 }
 
-// Who begins as the first of its zone hears it from another zone's.
-func TestFirstOfAZoneIsTold(t *testing.T) {
-	known, begins := startNode(t, "n1", 2), startNode(t, "n2", 1)
+// An instance that starts as the first of its zone learns limits from another zone's
+// first instance.
+func TestFirstOfZoneLearnsLimits(t *testing.T) {
+	known, joining := startNode(t, "n1", 2), startNode(t, "n2", 1)
 	known.Named("e1", 4)
-	begins.Zone, begins.self.Zone, begins.self.Revision = "b", "b", 2
-	begins.Roster.See(begins.self)
-	begins.Roster.See(known.self)
-	begins.tick(t.Context())
-	eventually(t, "it knows the limit", begins.knows)
+	joining.Zone, joining.self.Zone, joining.self.Revision = "b", "b", 2
+	joining.Roster.See(joining.self)
+	joining.Roster.See(known.self)
+	joining.tick(t.Context())
+	eventually(t, "the instance knows the limit", joining.knowsLimit)
 }
 
-// A rate that changes with each answer is not told with each, and the other one knows the
-// last of them by the next loan.
-func TestRatesThatSwing(t *testing.T) {
+// A rate that changes with each response is not announced each time, but the other
+// instance knows the latest rate after the next loan.
+func TestFrequentRateChanges(t *testing.T) {
 	c := qt.New(t)
 	issuer, other := pair(t)
 	other.Named("e1", 4)
-	eventually(t, "the other one knows the limit", issuer.knows)
+	eventually(t, "the other instance knows the limit", issuer.knowsLimit)
 	other.now.Add(10)
 	issuer.now.Add(10)
 	for rate := 5.0; rate < 50; rate++ {
 		other.Named("e1", rate)
 	}
 	other.mu.Lock()
-	c.Assert(other.toldAt, qt.HasLen, 1)
-	c.Assert(other.toldAt[fact{"e1", false}], qt.Equals, clock.Millis(10_000))
+	c.Assert(other.announcedAt, qt.HasLen, 1)
+	c.Assert(other.announcedAt[announcement{"e1", false}], qt.Equals, clock.Millis(10_000))
 	other.mu.Unlock()
-	eventually(t, "the other one knows the last rate", func() bool {
-		other.now.Add(tickEvery.Milliseconds())
-		issuer.now.Add(tickEvery.Milliseconds())
+	eventually(t, "the other instance knows the latest rate", func() bool {
+		other.now.Add(tickInterval.Milliseconds())
+		issuer.now.Add(tickInterval.Milliseconds())
 		other.tick(t.Context())
 		issuer.mu.Lock()
 		defer issuer.mu.Unlock()
@@ -146,7 +150,7 @@
 	})
 }
 
-// All permits of two instances come from the one that holds both parts, also for an
+// All permits of two instances come from the one that holds both shares, also for an
 // endpoint whose zone has no instances.
 func TestPermitsOfTwoInstances(t *testing.T) {
 	tests := []struct{ name, zone, endpoint string }{
@@ -164,19 +168,19 @@
 				n.ZoneOf = func(string) string { return test.endpoint }
 			}
 			issuer.Named("e1", 4)
-			eventually(t, "both know the limit", other.knows)
+			eventually(t, "both instances know the limit", other.knowsLimit)
 			var granted int
 			const seconds = 10
 			for range seconds * 10 {
 				issuer.now.Add(100)
 				other.now.Add(100)
 				other.tick(t.Context())
-				eventually(t, "the loan has been answered", func() bool {
+				eventually(t, "the loan was answered", func() bool {
 					other.mu.Lock()
 					defer other.mu.Unlock()
-					return len(other.lending) == 0
+					return len(other.pendingLoans) == 0
 				})
-				if other.Take(t.Context(), "e1", 0) == 0 { // all callers ask one
+				if other.Take(t.Context(), "e1", 0) == 0 { // all requests arrive at one instance
 					granted++
 				}
 			}
@@ -185,22 +189,23 @@
 	}
 }
 
-// lent has an endpoint take four requests a second, and waits until one instance has lent
-// the other its part of that.
-func lent(t *testing.T, issuer, other *node) {
+// lendShare sets a limit of four requests a second for an endpoint and waits until one
+// instance has lent the other its share of it.
+func lendShare(t *testing.T, issuer, other *node) {
 	t.Helper()
 	issuer.Named("e1", 4)
-	eventually(t, "both know the limit", other.knows)
+	eventually(t, "both instances know the limit", other.knowsLimit)
 	other.tick(t.Context())
-	eventually(t, "the part is lent", func() bool {
+	eventually(t, "the share is lent", func() bool {
 		issuer.mu.Lock()
 		defer issuer.mu.Unlock()
 		return issuer.issuer.OnLoan(10_000, "b").Parts == 2
 	})
 }
 
-// Permits are issued at the rate that the issuer knows, whatever an asker still believes.
-func TestStaleAskers(t *testing.T) {
+// Permits are issued at the rate that the issuer knows, even if the requesting instance
+// still has another one.
+func TestStaleRateInRequest(t *testing.T) {
 	n := startNode(t, "n1", 1)
 	n.now.Store(10_000)
 	n.Named("e1", 1)
@@ -214,15 +219,15 @@
 	qt.Assert(t, granted <= 4, qt.IsTrue, qt.Commentf("%d", granted))
 }
 
-// What is denied is not asked for again until there may be a permit, except by who is
-// more urgent; what was given back is used first.
+// After a denial no permit is requested again until one may be available, except by a
+// more urgent request. Returned permits are used first.
 func TestDenials(t *testing.T) {
 	c := qt.New(t)
 	n := startNode(t, "n1", 1)
 	n.issuer = permit.New(func() float64 { return 0 })
 	n.now.Store(10_000)
 	n.Named("e1", 0)
-	for n.Take(t.Context(), "e1", 1) == 0 { // what is there at the beginning
+	for n.Take(t.Context(), "e1", 1) == 0 { // the initial permits
 	}
 	c.Assert(n.Withheld(1)["e1"], qt.Equals, permit.DenyMost)
 	c.Assert(n.Withheld(2)["e1"], qt.Equals, permit.DenyMost)
@@ -231,22 +236,22 @@
 	c.Assert(n.Take(t.Context(), "e1", 2), qt.Equals, time.Duration(0))
 	c.Assert(n.Take(t.Context(), "e1", 2) > 0, qt.IsTrue)
 	n.Return("e1")
-	n.now.Add(spareFor.Milliseconds())
+	n.now.Add(returnedLifetime.Milliseconds())
 	c.Assert(n.Take(t.Context(), "e1", 2) > 0, qt.IsTrue)
 	spent, next := n.Spent()
 	c.Assert(spent, qt.DeepEquals, []string{"e1"})
 	c.Assert(next > 0, qt.IsTrue)
 	n.Named("e1", 100)
-	c.Assert(n.Withheld(2), qt.HasLen, 0) // under the limit before
+	c.Assert(n.Withheld(2), qt.HasLen, 0) // the denial was under the previous limit
 }
 
-// While no endpoint names a limit nothing is sent.
-func TestNothingWithoutLimits(t *testing.T) {
+// While no endpoint has a limit nothing is sent.
+func TestNoMessagesWithoutLimits(t *testing.T) {
 	c := qt.New(t)
 	issuer, other := pair(t)
-	other.met = true // it has asked once
+	other.synced = true // it has queried once
 	other.tick(t.Context())
-	c.Assert(other.lending, qt.HasLen, 0)
+	c.Assert(other.pendingLoans, qt.HasLen, 0)
 	_, lent := other.issuer.Borrower(10_000, "")
 	c.Assert(lent, qt.IsFalse)
 	c.Assert(issuer.Take(t.Context(), "e1", 0), qt.Equals, time.Duration(0))
@@ -255,12 +260,12 @@
 	c.Assert(spent, qt.HasLen, 0)
 }
 
-// Where the first of the zone does not answer, an instance has its own part once the
-// loan is over, and no more.
-func TestOwnPartWhereNobodyAnswers(t *testing.T) {
+// When the first instance of the zone does not respond, another one uses its own share
+// once the lease has expired, and no more.
+func TestOwnShareWithoutResponse(t *testing.T) {
 	c := qt.New(t)
 	issuer, other := pair(t)
-	lent(t, issuer, other)
+	lendShare(t, issuer, other)
 	other.Transport.Cut(func(netip.AddrPort) bool { return true })
 	granted, first := 0, 0
 	const seconds = 12
@@ -274,6 +279,6 @@
 			}
 		}
 	}
-	c.Assert(first >= 10, qt.IsTrue, qt.Commentf("after %d tenths of a second", first)) // the loan, some of it past
+	c.Assert(first >= 10, qt.IsTrue, qt.Commentf("first permit after %d tenths of a second", first)) // the lease, part of which has passed
 	c.Assert(granted >= 2*(seconds-3) && granted <= 2*seconds, qt.IsTrue, qt.Commentf("%d", granted))
 }
