--- a/internal/ratelimit/table.go
+++ b/internal/ratelimit/table.go
@@ -1,7 +1,7 @@
-// Package ratelimit keeps how many requests a second endpoints take from all instances
-// together, as their answers to any instance tell. The newest word counts; an older one
-// that comes later, from a peer or in an answer that was overtaken, changes nothing.
-// Decisions are pure: the caller gives the time.
+// Package ratelimit tracks how many requests a second endpoints accept from all
+// instances together, as named in their responses to any instance. The newest statement
+// wins; an older one that arrives later, from a peer or in a delayed response, changes
+// nothing. Decisions are pure: the caller passes the time.
 package ratelimit
 
 import (
@@ -15,189 +15,197 @@
 )
 
 const (
-	// memory is how long a limit is kept of which no answer tells any more: nothing is
-	// sent there, and the next answer will tell.
-	memory = 30 * time.Second
-	// afterlife is how long it is kept that a limit is over, so that peers who heard of
-	// the limit late do not bring it back.
-	afterlife = 10 * time.Second
-	// alike is the part of a rate by which it may change without being another one: to
-	// tell everybody of each change of a rate that follows an endpoint's load would cost
-	// more than the difference.
-	alike = 0.05
-	// fresher is by how much a peer's word must be newer than the same word here to
-	// count as heard later. Each word ages a little less than the time that it is on
-	// its way, and would never grow old between two who tell it each other.
-	fresher = 250 * time.Millisecond
+	// limitRetention is how long a limit is kept without a response that confirms it.
+	// By then nothing has been sent to the endpoint for that long, and the next
+	// response names the limit again.
+	limitRetention = 30 * time.Second
+	// liftedRetention is how long it is remembered that a limit was lifted, so that
+	// peers with an outdated view do not restore it.
+	liftedRetention = 10 * time.Second
+	// rateTolerance is the fraction by which a rate may change without counting as a
+	// change. Some endpoints adjust their rate to their load: announcing each change to
+	// all instances would cost more than the difference matters.
+	rateTolerance = 0.05
+	// minAgeGain is how much newer a peer's statement must be than the same statement
+	// here to replace it. Transit time is not added to a statement's age, so without a
+	// minimum two peers that exchange the same statement would keep it from expiring.
+	minAgeGain = 250 * time.Millisecond
 )
 
-// Statement is what one answer of an endpoint said.
+// Statement is what one response of an endpoint said about its limit.
 type Statement struct {
-	Endpoint string        `cbor:"1,keyasint"` // its life
-	Zone     string        `cbor:"2,keyasint"` // the endpoint's
-	Rate     float64       `cbor:"3,keyasint"` // requests a second from all instances
-	Over     bool          `cbor:"4,keyasint,omitempty"`
-	Age      time.Duration `cbor:"5,keyasint"` // since the answer came
+	Endpoint string        `cbor:"1,keyasint"`           // the endpoint's ID, new at each restart
+	Zone     string        `cbor:"2,keyasint"`           // the endpoint's
+	Rate     float64       `cbor:"3,keyasint"`           // requests a second from all instances
+	Over     bool          `cbor:"4,keyasint,omitempty"` // the limit was lifted
+	Age      time.Duration `cbor:"5,keyasint"`           // since the response arrived
 }
 
-// Table is the limits that are known. It is not safe for concurrent use.
+// Table holds the known limits. It is not safe for concurrent use.
 type Table struct {
-	known map[string]word
-	cold  map[string]warmup
+	limits map[string]observation
+	cold   map[string]coldLimit
 }
 
-// warmup is what an endpoint takes while it is cold, as its entry in the store tells all
-// instances. It ends by time and not by what answers name.
-type warmup struct {
+// coldLimit is the limit of a cold endpoint, which all instances read from the
+// endpoint's entry in the store. It ends with time, whatever the endpoint's responses
+// name.
+type coldLimit struct {
 	zone  string
 	rate  float64
 	until clock.Millis
 }
 
-// word is a statement with the time of its answer in place of its age.
-type word struct {
+// observation is a statement with the time of its response instead of its age.
+type observation struct {
 	Statement
-	heard clock.Millis
+	observedAt clock.Millis
 }
 
-// NewTable returns a table that knows nothing.
-func NewTable() *Table { return &Table{known: map[string]word{}, cold: map[string]warmup{}} }
+// NewTable returns an empty table.
+func NewTable() *Table { return &Table{limits: map[string]observation{}, cold: map[string]coldLimit{}} }
 
-// Warming takes that an endpoint is cold for some time and takes no more than a rate
-// meanwhile. It says whether that is news.
-func (t *Table) Warming(now clock.Millis, endpoint, zone string, rate float64, left time.Duration) (news bool) {
+// Warming records that an endpoint is cold for the time left and limited to rate
+// meanwhile. It reports whether the endpoint was not known to be cold before.
+func (t *Table) Warming(now clock.Millis, endpoint, zone string, rate float64, left time.Duration) (added bool) {
 	_, known := t.cold[endpoint]
-	t.cold[endpoint] = warmup{zone: zone, rate: rate, until: now.Add(left)}
+	t.cold[endpoint] = coldLimit{zone: zone, rate: rate, until: now.Add(left)}
 	return !known
 }
 
-// Named takes that an answer of an endpoint names a rate. It says whether that is news.
-func (t *Table) Named(now clock.Millis, endpoint, zone string, rate float64) (news bool) {
-	before, known := t.known[endpoint]
-	if known && !before.Over && math.Abs(rate-before.Rate) <= alike*before.Rate {
-		before.heard = now
-		t.known[endpoint] = before
+// Named records that a response of an endpoint named a rate. It reports whether the
+// limit changed.
+func (t *Table) Named(now clock.Millis, endpoint, zone string, rate float64) (changed bool) {
+	before, known := t.limits[endpoint]
+	if known && !before.Over && math.Abs(rate-before.Rate) <= rateTolerance*before.Rate {
+		before.observedAt = now
+		t.limits[endpoint] = before
 		return false
 	}
-	t.known[endpoint] = word{Statement: Statement{Endpoint: endpoint, Zone: zone, Rate: rate}, heard: now}
+	t.limits[endpoint] = observation{Statement: Statement{Endpoint: endpoint, Zone: zone, Rate: rate}, observedAt: now}
 	return true
 }
 
-// Unnamed takes that an endpoint answered well, and named none, to a request that was
-// sent at a time. Whoever asked before the limit was heard learns nothing of its end.
-func (t *Table) Unnamed(now clock.Millis, endpoint string, sent clock.Millis) (news bool) {
-	w, known := t.known[endpoint]
-	if !known || w.Over || sent <= w.heard {
+// Unnamed records that an endpoint answered a request successfully without naming a
+// limit. A request sent before the limit was observed does not lift it. Unnamed reports
+// whether the limit was lifted.
+func (t *Table) Unnamed(now clock.Millis, endpoint string, sent clock.Millis) (changed bool) {
+	o, known := t.limits[endpoint]
+	if !known || o.Over || sent <= o.observedAt {
 		return false
 	}
-	w.Over, w.heard = true, now
-	t.known[endpoint] = w
+	o.Over, o.observedAt = true, now
+	t.limits[endpoint] = o
 	return true
 }
 
-// Merge takes what a peer knows and returns what of it is news.
-func (t *Table) Merge(now clock.Millis, list []Statement) (news []Statement) {
+// Merge merges the statements of a peer and returns those that changed a limit.
+func (t *Table) Merge(now clock.Millis, list []Statement) (changes []Statement) {
 	for _, s := range list {
-		w := word{Statement: s, heard: now.Add(-s.Age)}
-		before, known := t.known[s.Endpoint]
+		o := observation{Statement: s, observedAt: now.Add(-s.Age)}
+		before, known := t.limits[s.Endpoint]
 		switch {
 		case !known && s.Over:
-		case !known, before.differs(s) && w.heard > before.heard:
-			t.known[s.Endpoint] = w
-			news = append(news, s)
-		case !before.differs(s) && w.heard.Sub(before.heard) > fresher:
-			t.known[s.Endpoint] = w
+		case !known, before.differs(s) && o.observedAt > before.observedAt:
+			t.limits[s.Endpoint] = o
+			changes = append(changes, s)
+		case !before.differs(s) && o.observedAt.Sub(before.observedAt) > minAgeGain:
+			t.limits[s.Endpoint] = o
 		}
 	}
-	return news
+	return changes
 }
 
-func (w word) differs(s Statement) bool { return w.Over != s.Over || !s.Over && w.Rate != s.Rate }
+func (o observation) differs(s Statement) bool {
+	return o.Over != s.Over || !s.Over && o.Rate != s.Rate
+}
 
-// Limit returns the rate that binds an endpoint and the endpoint's zone, if any does.
+// Limit returns the rate to which an endpoint is limited, if it is, and the endpoint's
+// zone.
 func (t *Table) Limit(endpoint string) (rate float64, zone string, limited bool) {
-	w, named := t.known[endpoint]
-	named = named && !w.Over
+	o, named := t.limits[endpoint]
+	named = named && !o.Over
 	c, cold := t.cold[endpoint]
 	switch {
 	case named && cold:
-		return min(w.Rate, c.rate), c.zone, true
+		return min(o.Rate, c.rate), c.zone, true
 	case cold:
 		return c.rate, c.zone, true
 	default:
-		return w.Rate, w.Zone, named
+		return o.Rate, o.Zone, named
 	}
 }
 
-// Binds says whether a limit binds an endpoint.
+// Binds reports whether an endpoint is limited.
 func (t *Table) Binds(endpoint string) bool {
 	_, _, limited := t.Limit(endpoint)
 	return limited
 }
 
-// Digest is the same for two tables by which the same rates bind the same endpoints.
+// Digest returns a hash of the limits named in responses. It is equal for tables with
+// the same rates for the same endpoints.
 func (t *Table) Digest() uint64 {
 	var sum uint64
-	for _, w := range t.known {
-		if !w.Over {
-			sum ^= xxhash.Sum64String(w.Endpoint + "\x00" + strconv.FormatFloat(w.Rate, 'g', -1, 64))
+	for _, o := range t.limits {
+		if !o.Over {
+			sum ^= xxhash.Sum64String(o.Endpoint + "\x00" + strconv.FormatFloat(o.Rate, 'g', -1, 64))
 		}
 	}
 	return sum
 }
 
-// All returns what is known, for peers.
+// All returns the known statements, for peers.
 func (t *Table) All(now clock.Millis) []Statement {
-	list := make([]Statement, 0, len(t.known))
-	for _, w := range t.known {
-		w.Age = now.Sub(w.heard)
-		list = append(list, w.Statement)
+	list := make([]Statement, 0, len(t.limits))
+	for _, o := range t.limits {
+		o.Age = now.Sub(o.observedAt)
+		list = append(list, o.Statement)
 	}
 	return list
 }
 
-// Bound returns the endpoints that limits bind, with their rates.
+// Bound returns the limited endpoints with their effective rates.
 func (t *Table) Bound() []Statement {
-	list := make([]Statement, 0, len(t.known)+len(t.cold))
+	list := make([]Statement, 0, len(t.limits)+len(t.cold))
 	add := func(endpoint string) {
 		rate, zone, limited := t.Limit(endpoint)
 		if limited {
 			list = append(list, Statement{Endpoint: endpoint, Zone: zone, Rate: rate})
 		}
 	}
-	for endpoint := range t.known {
+	for endpoint := range t.limits {
 		add(endpoint)
 	}
 	for endpoint := range t.cold {
-		if _, both := t.known[endpoint]; !both {
+		if _, both := t.limits[endpoint]; !both {
 			add(endpoint)
 		}
 	}
 	return list
 }
 
-// Expire forgets what is too old.
+// Expire removes outdated limits.
 func (t *Table) Expire(now clock.Millis) {
 	for endpoint, c := range t.cold {
 		if now >= c.until {
 			delete(t.cold, endpoint)
 		}
 	}
-	for endpoint, w := range t.known {
-		age := now.Sub(w.heard)
-		if w.Over && age > afterlife || age > memory {
-			delete(t.known, endpoint)
+	for endpoint, o := range t.limits {
+		age := now.Sub(o.observedAt)
+		if o.Over && age > liftedRetention || age > limitRetention {
+			delete(t.limits, endpoint)
 		}
 	}
 }
 
-// Empty says whether nothing is known, not even that a limit is over.
-func (t *Table) Empty() bool { return len(t.known) == 0 && len(t.cold) == 0 }
+// Empty reports whether nothing is known, not even that a limit was lifted.
+func (t *Table) Empty() bool { return len(t.limits) == 0 && len(t.cold) == 0 }
 
-// Size is how many endpoints are limited.
+// Size returns the number of limited endpoints.
 func (t *Table) Size() int { return len(t.Bound()) }
 
-// Zones are the zones of endpoints whose limits bind.
+// Zones returns the zones of the limited endpoints.
 func (t *Table) Zones() []string {
 	var list []string
 	seen := map[string]bool{}
