--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -1,6 +1,6 @@
-// Package notice keeps what endpoints say of themselves in the heads of their answers,
-// whatever the answer is to: that they leave, that they want no requests for a while, and
-// how many a second they take from all instances together.
+// Package notice tracks what endpoints say about themselves in the headers of any
+// response: that they are leaving, that they want no requests for a while, and how many
+// requests a second they accept from all instances together.
 package notice
 
 import (
@@ -13,84 +13,85 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// Notice is what one answer says.
+// Notice is what one response says.
 type Notice struct {
-	Leaving bool          // the endpoint will end soon
-	Rest    time.Duration // it wants no request from this instance for so long
+	Leaving bool          // the endpoint will shut down soon
+	Rest    time.Duration // backoff: how long it wants no requests from this instance
 	Limit   Limit
 }
 
-// Limit is how many requests a second an endpoint takes from all instances together.
+// Limit is how many requests a second an endpoint accepts from all instances together.
 type Limit struct {
-	Named bool // it names one; the rate says nothing otherwise
+	Named bool // whether a limit was named; if not, Rate has no meaning
 	Rate  float64
 }
 
-// mostRate is the rate, in requests a second, from which on a limit binds nobody: all
-// instances together send less to all their endpoints.
-const mostRate = 1e6
+// maxRate is the rate, in requests a second, from which on a limit is ignored: all
+// instances together send less than that to all their endpoints.
+const maxRate = 1e6
 
-// ParseLimit reads the rate that an endpoint names. What is no number, or none that could
-// be kept to, names no limit.
+// ParseLimit parses the rate that an endpoint names. A value that is not a number, is
+// negative or is at least maxRate counts as no limit.
 func ParseLimit(text string) Limit {
 	rate, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
-	if err != nil || !(rate >= 0 && rate < mostRate) {
+	if err != nil || !(rate >= 0 && rate < maxRate) {
 		return Limit{}
 	}
 	return Limit{Named: true, Rate: rate}
 }
 
-// BindsNobody says whether a rate is one that nobody can exceed, which is as good as none.
+// BindsNobody reports whether a rate is so high that it equals no limit.
 func BindsNobody(text string) bool {
-	rate, _ := strconv.ParseFloat(strings.TrimSpace(text), 64) // beyond all numbers: +Inf
-	return rate >= mostRate
+	rate, _ := strconv.ParseFloat(strings.TrimSpace(text), 64) // +Inf on overflow
+	return rate >= maxRate
 }
 
-// maxRest bounds how long an endpoint is left alone on its own word: one that asks for
-// more than a day is broken, and is not to be lost for good.
-const maxRest = 24 * time.Hour
+// maxBackoff bounds the backoff that an endpoint can request. An endpoint that requests
+// more than a day is faulty, and should not be lost for good.
+const maxBackoff = 24 * time.Hour
 
-// ReadRest reads the seconds of an answer's Retry-After; what is no number of seconds
-// asks for nothing.
+// ReadRest parses the seconds of a response's Retry-After header. A value that is not a
+// positive number of seconds requests no backoff.
 func ReadRest(h http.Header) time.Duration {
 	seconds, err := strconv.ParseFloat(h.Get("Retry-After"), 64)
 	if err != nil || !(seconds > 0) {
 		return 0
 	}
-	return time.Duration(min(seconds, maxRest.Seconds()) * float64(time.Second))
+	return time.Duration(min(seconds, maxBackoff.Seconds()) * float64(time.Second))
 }
 
-// Table is the endpoints that want nothing now, by a key that names them.
+// Table tracks the endpoints that currently want no requests, by a key that identifies
+// them.
 type Table[K comparable] struct {
-	memory time.Duration
-	mu     sync.Mutex
-	until  map[K]clock.Millis
+	leavingTime time.Duration
+	mu          sync.Mutex
+	until       map[K]clock.Millis
 }
 
-// NewTable returns a table that believes for memory that an endpoint leaves, from the
-// last answer on that says so.
-func NewTable[K comparable](memory time.Duration) *Table[K] {
-	return &Table[K]{memory: memory, until: map[K]clock.Millis{}}
+// NewTable returns an empty table. An endpoint counts as leaving for leavingTime after
+// the last response that says so.
+func NewTable[K comparable](leavingTime time.Duration) *Table[K] {
+	return &Table[K]{leavingTime: leavingTime, until: map[K]clock.Millis{}}
 }
 
-// Take notes what an answer of an endpoint says. It returns true if the endpoint wanted
+// Take records the notice of a response. It returns true if the endpoint wanted
 // requests before and wants none now.
-func (t *Table[K]) Take(now clock.Millis, endpoint K, n Notice) (news bool) {
-	length := n.Rest
+func (t *Table[K]) Take(now clock.Millis, endpoint K, n Notice) (closed bool) {
+	backoff := n.Rest
 	if n.Leaving {
-		length = max(length, t.memory)
+		backoff = max(backoff, t.leavingTime)
 	}
-	if length <= 0 {
+	if backoff <= 0 {
 		return false
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	news = now >= t.until[endpoint]
-	t.until[endpoint] = max(t.until[endpoint], now.Add(length))
-	return news
+	closed = now >= t.until[endpoint]
+	t.until[endpoint] = max(t.until[endpoint], now.Add(backoff))
+	return closed
 }
 
-// All returns the endpoints that want no requests now.
+// All returns the endpoints that currently want no requests.
 func (t *Table[K]) All(now clock.Millis) []K {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -105,10 +106,10 @@
 	return list
 }
 
-// Closed says whether an endpoint wants no requests now.
+// Closed reports whether an endpoint currently wants no requests.
 func (t *Table[K]) Closed(now clock.Millis, endpoint K) bool { return t.Left(now, endpoint) > 0 }
 
-// Left is for how long an endpoint still wants no requests.
+// Left returns how long an endpoint will want no requests.
 func (t *Table[K]) Left(now clock.Millis, endpoint K) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/notice/notice_test.go
+++ b/internal/notice/notice_test.go
@@ -33,9 +33,9 @@
 
 func TestParseLimit(t *testing.T) {
 	tests := []struct {
-		text   string
-		want   notice.Limit
-		nobody bool // it binds
+		text      string
+		want      notice.Limit
+		unlimited bool
 	}{
 		{"4.2", notice.Limit{Named: true, Rate: 4.2}, false},
 		{" 0 ", notice.Limit{Named: true}, false},
@@ -52,12 +52,13 @@
 	for _, test := range tests {
 		t.Run(test.text, func(t *testing.T) {
 			qt.Check(t, notice.ParseLimit(test.text), qt.Equals, test.want)
-			qt.Check(t, notice.BindsNobody(test.text), qt.Equals, test.nobody)
+			qt.Check(t, notice.BindsNobody(test.text), qt.Equals, test.unlimited)
 		})
 	}
 }
 
-// Of several words the one that lasts longest counts, and news is told once.
+// Of several notices the one that lasts longest applies, and Take returns true only
+// when the endpoint turns unavailable.
 func TestTable(t *testing.T) {
 	c := qt.New(t)
 	table := notice.NewTable[string](time.Minute)
