--- a/internal/ownpart/limiter.go
+++ b/internal/ownpart/limiter.go
@@ -1,6 +1,7 @@
-// Package ownpart keeps one process to its own equal part of the limits that endpoints
-// name to it, where processes do not lend each other theirs. Together they keep to each
-// limit, and use no more of it than comes to those that are asked.
+// Package ownpart limits one process to its own equal share of the limits that
+// endpoints name to it, for processes that do not lend each other their shares.
+// Together they keep to each limit, but use only the shares of those processes that get
+// requests.
 package ownpart
 
 import (
@@ -14,10 +15,10 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// Limiter is one process's part. It is safe for concurrent use.
+// Limiter enforces one process's shares. It is safe for concurrent use.
 type Limiter struct {
-	// Processes is how many divide the limits, as far as is known, and whether they are
-	// all.
+	// Processes returns how many known processes divide the limits, and whether these
+	// are all.
 	Processes func() (n int, all bool)
 
 	mu     sync.Mutex
@@ -25,26 +26,26 @@
 	issuer *permit.Issuer
 }
 
-// New returns a limiter that knows no limit.
+// New returns a limiter without limits.
 func New(processes func() (n int, all bool)) *Limiter {
 	return &Limiter{Processes: processes, table: ratelimit.NewTable(), issuer: permit.New(rand.Float64)}
 }
 
-// Heard takes what an endpoint's answer to a request says of its limit; good says that
-// it answered well, sent when the request was.
-func (l *Limiter) Heard(now clock.Millis, endpoint string, said notice.Limit, good bool, sent clock.Millis) {
+// Heard records what an endpoint's response to a request said about its limit. ok
+// reports whether the response was successful, sent is when the request was sent.
+func (l *Limiter) Heard(now clock.Millis, endpoint string, limit notice.Limit, ok bool, sent clock.Millis) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case said.Named:
-		l.table.Named(now, endpoint, "", said.Rate)
-	case good:
+	case limit.Named:
+		l.table.Named(now, endpoint, "", limit.Rate)
+	case ok:
 		l.table.Unnamed(now, endpoint, sent)
 	}
 }
 
-// Take gets a permit for a request to an endpoint. It returns 0 if the request may be
-// sent; else when there may be one.
+// Take acquires a permit for a request to an endpoint. It returns 0 if the request may
+// be sent, or else the time until a permit may be available.
 func (l *Limiter) Take(now clock.Millis, endpoint string) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/ownpart/limiter_test.go
+++ b/internal/ownpart/limiter_test.go
@@ -12,8 +12,9 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// sent is how many requests of one a hundredth of a second a limiter lets pass in a time.
-func sent(l *ownpart.Limiter, from clock.Millis, length time.Duration) (n int) {
+// countAllowed returns how many requests a limiter allows of those sent every 10 ms for
+// a time.
+func countAllowed(l *ownpart.Limiter, from clock.Millis, length time.Duration) (n int) {
 	for now := from; now < from.Add(length); now = now.Add(10 * time.Millisecond) {
 		if l.Take(now, "e1") == 0 {
 			n++
@@ -22,31 +23,31 @@
 	return n
 }
 
-func TestOwnPart(t *testing.T) {
+func TestOwnShare(t *testing.T) {
 	tests := []struct {
-		name        string
-		processes   int
-		all         bool
-		least, most int // in 20 s, of a limit of 4 a second
+		name             string
+		processes        int
+		all              bool
+		minSent, maxSent int // in 20 s, of a limit of 4 a second
 	}{
 		{"alone", 1, true, 76, 84},
 		{"one of four", 4, true, 17, 23},
-		{"one that may not know the others", 1, false, 8, 12},
+		{"one that may not know the other processes", 1, false, 8, 12},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			l := ownpart.New(func() (int, bool) { return test.processes, test.all })
-			c.Assert(sent(l, 10_000, time.Second), qt.Equals, 100) // no limit is known
+			c.Assert(countAllowed(l, 10_000, time.Second), qt.Equals, 100) // no limit is known
 			l.Heard(11_000, "e1", notice.Limit{Named: true, Rate: 4}, true, 10_900)
-			n := sent(l, 11_000, 20*time.Second)
-			c.Assert(n >= test.least && n <= test.most, qt.IsTrue, qt.Commentf("%d", n))
-			l.Heard(31_000, "e1", notice.Limit{}, true, 10_900) // asked before it was heard
-			c.Assert(sent(l, 31_000, time.Second) < 10, qt.IsTrue)
-			l.Heard(32_000, "e1", notice.Limit{}, false, 31_000) // no good answer
-			c.Assert(sent(l, 32_000, time.Second) < 10, qt.IsTrue)
+			n := countAllowed(l, 11_000, 20*time.Second)
+			c.Assert(n >= test.minSent && n <= test.maxSent, qt.IsTrue, qt.Commentf("%d", n))
+			l.Heard(31_000, "e1", notice.Limit{}, true, 10_900) // sent before the limit was observed
+			c.Assert(countAllowed(l, 31_000, time.Second) < 10, qt.IsTrue)
+			l.Heard(32_000, "e1", notice.Limit{}, false, 31_000) // not a successful response
+			c.Assert(countAllowed(l, 32_000, time.Second) < 10, qt.IsTrue)
 			l.Heard(33_000, "e1", notice.Limit{}, true, 32_000)
-			c.Assert(sent(l, 33_000, time.Second), qt.Equals, 100)
+			c.Assert(countAllowed(l, 33_000, time.Second), qt.Equals, 100)
 		})
 	}
 }
