--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -1,6 +1,6 @@
-// Package budget bounds how often requests are sent again. All instances share
-// one allowance for each service; each takes a fixed part of it, so that no
-// message is needed and instances that lost touch cannot overdraw the sum.
+// Package budget limits how often requests are sent again. All instances share one
+// allowance for each service, and each uses a fixed share of it. That needs no
+// messages, and instances that cannot reach each other cannot exceed the total.
 package budget
 
 import (
@@ -10,39 +10,41 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// steps divides the window; a step's counts leave together.
-const steps = 20
+// windowSteps is how many steps the window is divided into; counts expire a step at a
+// time.
+const windowSteps = 20
 
 // Rule is the allowance of all instances together.
 type Rule struct {
-	Ratio  float64       // extra sends for each request
-	Slack  float64       // extra sends besides, in a window
-	Window time.Duration // any span of this length is counted
+	Ratio  float64       // extra sends per request
+	Slack  float64       // additional extra sends per window
+	Window time.Duration // applies to any span of this length
 }
 
-// margin is the part of the allowance that is used. The rest covers sends
-// that arrive in a later window than they were counted in.
-const margin = 0.8
+// usableFraction is the fraction of the allowance that is used. The remainder covers
+// sends that arrive in a later window than they were counted in.
+const usableFraction = 0.8
 
-// youngPart is how much of its slack a process may use in its first window: an
-// earlier life may have spent margin of it, and 0.8 * (1 + 0.25) is all of it.
-const youngPart = 0.25
+// startupFraction is the fraction of its slack that a process may use in its first
+// window. The process before a restart may have spent usableFraction of it, and 0.8 *
+// (1 + 0.25) is all of it.
+const startupFraction = 0.25
 
-// Budget is one instance's part for one service.
+// Budget is one instance's share of the allowance of one service.
 type Budget struct {
-	mu       sync.Mutex
-	rule     Rule
-	shares   int
-	began    clock.Millis // when the process did
-	requests [steps]float64
-	extras   [steps]float64
-	at       int64 // step that the counts end at
+	mu        sync.Mutex
+	rule      Rule
+	shares    int
+	startedAt clock.Millis // start of the process
+	requests  [windowSteps]float64
+	extras    [windowSteps]float64
+	step      int64 // newest step counted
 }
 
-// New returns a budget that is one of shares equal parts of rule, in a process
-// that began at a time.
-func New(rule Rule, shares int, began clock.Millis) *Budget {
-	return &Budget{rule: rule, shares: max(shares, 1), began: began}
+// New returns a budget that is one of shares equal shares of rule, in a process that
+// started at startedAt.
+func New(rule Rule, shares int, startedAt clock.Millis) *Budget {
+	return &Budget{rule: rule, shares: max(shares, 1), startedAt: startedAt}
 }
 
 // Share sets how many instances divide the slack.
@@ -52,7 +54,7 @@
 	b.shares = max(shares, 1)
 }
 
-// Rule replaces the allowance; the window stays as it is.
+// Rule replaces the allowance but keeps the window.
 func (b *Budget) Rule(rule Rule) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -60,7 +62,7 @@
 	b.rule = rule
 }
 
-// Request counts a request, which earns its ratio.
+// Request counts a request, which adds to the allowance by the rule's ratio.
 func (b *Budget) Request(now clock.Millis) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -80,7 +82,7 @@
 	return true
 }
 
-// Return gives back n extra sends that were taken a moment ago and not made.
+// Return gives back n extra sends that were taken recently but not made.
 func (b *Budget) Return(now clock.Millis, n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -88,7 +90,7 @@
 	b.extras[b.slot()] -= float64(n)
 }
 
-// Left is how many extra sends are allowed now.
+// Left returns how many extra sends are allowed now.
 func (b *Budget) Left(now clock.Millis) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -98,31 +100,31 @@
 
 func (b *Budget) left(now clock.Millis) float64 {
 	requests, extras := 0.0, 0.0
-	for i := range steps {
+	for i := range windowSteps {
 		requests += b.requests[i]
 		extras += b.extras[i]
 	}
-	return margin*(b.slack(now)+b.rule.Ratio*requests) - extras
+	return usableFraction*(b.slack(now)+b.rule.Ratio*requests) - extras
 }
 
-// slack is this instance's part of it.
+// slack returns this instance's share of the slack.
 func (b *Budget) slack(now clock.Millis) float64 {
-	part := b.rule.Slack / float64(b.shares)
-	if now.Sub(b.began) < b.rule.Window {
-		return youngPart * part
+	share := b.rule.Slack / float64(b.shares)
+	if now.Sub(b.startedAt) < b.rule.Window {
+		return startupFraction * share
 	}
-	return part
+	return share
 }
 
-func (b *Budget) slot() int { return int(b.at % steps) }
+func (b *Budget) slot() int { return int(b.step % windowSteps) }
 
 func (b *Budget) advance(now clock.Millis) {
-	step := int64(now) / max(b.rule.Window.Milliseconds()/(steps-1), 1)
-	if step-b.at > steps {
-		b.at = step - steps
+	step := int64(now) / max(b.rule.Window.Milliseconds()/(windowSteps-1), 1)
+	if step-b.step > windowSteps {
+		b.step = step - windowSteps
 	}
-	for b.at < step {
-		b.at++
+	for b.step < step {
+		b.step++
 		b.requests[b.slot()] = 0
 		b.extras[b.slot()] = 0
 	}
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -13,43 +13,43 @@
 
 var rule = budget.Rule{Ratio: 0.2, Slack: 40, Window: 10 * time.Second}
 
-// longAgo is when the processes of these tests began.
-const longAgo = clock.Millis(-100_000)
+// startedLongAgo is the start of the processes in these tests.
+const startedLongAgo = clock.Millis(-100_000)
 
-// A process that was started anew does not know what it spent before: both
-// lives together stay within the part, and a window later all of it is there.
-func TestStartedAnewWithinAWindow(t *testing.T) {
+// A restarted process does not know what it spent before. Both runs together must stay
+// within the share, and a window later the whole share is available.
+func TestRestartWithinWindow(t *testing.T) {
 	const shares, requests = 8, 20
 	c := qt.New(t)
 	spent := 0
-	began := longAgo
+	startedAt := startedLongAgo
 	for life := range 2 {
 		now := clock.Millis(5_000 + 1_000*int64(life))
-		b := budget.New(rule, shares, began)
+		b := budget.New(rule, shares, startedAt)
 		for range requests {
 			b.Request(now)
 		}
 		for b.Take(now, 1) {
 			spent++
 		}
-		began = now.Add(500 * time.Millisecond)
+		startedAt = now.Add(500 * time.Millisecond)
 	}
 	c.Assert(float64(spent) <= rule.Slack/shares+rule.Ratio*2*requests, qt.IsTrue, qt.Commentf("%d extra sends", spent))
 
-	b := budget.New(rule, shares, began)
+	b := budget.New(rule, shares, startedAt)
 	spent = 0
-	for b.Take(began.Add(2*rule.Window), 1) {
+	for b.Take(startedAt.Add(2*rule.Window), 1) {
 		spent++
 	}
 	c.Assert(spent, qt.Equals, 4)
 }
 
-// Whatever the times of requests and retries, all instances together stay
-// within the rule in every window, because each stays within its part of it.
-func TestPartIsNeverOverdrawn(t *testing.T) {
+// Whatever the times of requests and retries, each instance stays within its share in
+// every window, and so all instances together stay within the rule.
+func TestShareIsNeverExceeded(t *testing.T) {
 	const shares = 8
 	rapid.Check(t, func(rt *rapid.T) {
-		b := budget.New(rule, shares, longAgo)
+		b := budget.New(rule, shares, startedLongAgo)
 		var requests, extras []clock.Millis
 		now := clock.Millis(100_000)
 		for range rapid.IntRange(1, 300).Draw(rt, "steps") {
@@ -84,15 +84,15 @@
 		name     string
 		shares   int
 		requests int
-		want     int // extra sends in one go
+		want     int // extra sends at once
 	}{
-		{"slack only", 8, 0, 4},
-		{"alone", 1, 0, 32},
+		{"only slack", 8, 0, 4},
+		{"one instance", 1, 0, 32},
 		{"with requests", 8, 100, 20},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			b := budget.New(rule, test.shares, longAgo)
+			b := budget.New(rule, test.shares, startedLongAgo)
 			for range test.requests {
 				b.Request(5_000)
 			}
@@ -104,16 +104,16 @@
 			for b.Take(16_000, 1) {
 				got--
 			}
-			qt.Assert(t, got <= test.want, qt.IsTrue) // a window later some are free again
+			qt.Assert(t, got <= test.want, qt.IsTrue) // a window later some are available again
 		})
 	}
 }
 
-// Several sends are taken together or not at all, and what is not used is free
+// Several sends are taken together or not at all, and returned ones are available
 // again.
-func TestTakeTogether(t *testing.T) {
+func TestTakeAllOrNone(t *testing.T) {
 	c := qt.New(t)
-	b := budget.New(rule, 8, longAgo) // four extra sends
+	b := budget.New(rule, 8, startedLongAgo) // four extra sends
 	c.Assert(b.Take(5_000, 5), qt.IsFalse)
 	c.Assert(b.Take(5_000, 3), qt.IsTrue)
 	c.Assert(b.Take(5_000, 2), qt.IsFalse)
