--- a/internal/deadline/deadline.go
+++ b/internal/deadline/deadline.go
@@ -1,6 +1,6 @@
-// Package deadline ends contexts at moments of the clock that goes on while the
-// machine is suspended. Timers do not: they would be late by the time suspended, and
-// callers would be held for that much longer than they wait.
+// Package deadline provides context deadlines on a clock that advances while the
+// machine is suspended. Timers do not: they would fire late by the time suspended, and
+// callers would be kept waiting for that much longer.
 package deadline
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// Set is the deadlines that are to come. It is safe for concurrent use.
+// Set holds pending deadlines. It is safe for concurrent use.
 type Set struct {
 	now func() clock.Millis
 
@@ -29,13 +29,13 @@
 	return &Set{now: now, all: map[*deadline]struct{}{}}
 }
 
-// Context returns a context that ends at a moment, or with its parent. At the moment
-// its cause is context.DeadlineExceeded. Cancel must be called.
+// Context returns a context that ends at a time, or with its parent. At that time its
+// cause is context.DeadlineExceeded. Cancel must be called.
 func (s *Set) Context(parent context.Context, at clock.Millis) (ctx context.Context, cancel context.CancelFunc) {
-	ctx, end := context.WithCancelCause(parent)
+	ctx, cancelCause := context.WithCancelCause(parent)
 	d := &deadline{at: at}
 	s.mu.Lock()
-	d.timer = time.AfterFunc(at.Sub(s.now()), func() { end(context.DeadlineExceeded) })
+	d.timer = time.AfterFunc(at.Sub(s.now()), func() { cancelCause(context.DeadlineExceeded) })
 	s.all[d] = struct{}{}
 	s.mu.Unlock()
 	return ctx, func() {
@@ -43,17 +43,17 @@
 		delete(s.all, d)
 		s.mu.Unlock()
 		d.timer.Stop()
-		end(context.Canceled)
+		cancelCause(context.Canceled)
 	}
 }
 
-// Resume sets all timers anew, after the machine was suspended.
+// Resume resets all timers after the machine was suspended.
 func (s *Set) Resume() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
 	for d := range s.all {
-		if d.timer.Stop() { // else it has ended
+		if d.timer.Stop() { // otherwise it has fired already
 			d.timer.Reset(d.at.Sub(now))
 		}
 	}
--- a/internal/deadline/deadline_test.go
+++ b/internal/deadline/deadline_test.go
@@ -15,16 +15,16 @@
 func TestContext(t *testing.T) {
 	tests := []struct {
 		name   string
-		runs   time.Duration // before the machine is suspended
+		runs   time.Duration // until the machine is suspended
 		sleeps time.Duration
-		then   time.Duration // runs on
+		then   time.Duration // until the check
 		ended  bool
 	}{
 		{"not yet", 900 * time.Millisecond, 0, 0, false},
-		{"ends in time", 1001 * time.Millisecond, 0, 0, true},
-		{"over when resumed", 100 * time.Millisecond, 2 * time.Second, time.Millisecond, true},
-		{"sooner for what was slept", 100 * time.Millisecond, 500 * time.Millisecond, 401 * time.Millisecond, true},
-		{"not yet for what was slept", 100 * time.Millisecond, 500 * time.Millisecond, 390 * time.Millisecond, false},
+		{"ends on time", 1001 * time.Millisecond, 0, 0, true},
+		{"expired when resumed", 100 * time.Millisecond, 2 * time.Second, time.Millisecond, true},
+		{"earlier by the time suspended", 100 * time.Millisecond, 500 * time.Millisecond, 401 * time.Millisecond, true},
+		{"not yet, with the time suspended", 100 * time.Millisecond, 500 * time.Millisecond, 390 * time.Millisecond, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -48,8 +48,8 @@
 	}
 }
 
-// A context that is cancelled before its moment ends for that reason, however long its
-// timer had been running.
+// A context that is cancelled before its deadline reports that cause, however long its
+// timer has been running.
 func TestCancelled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		started := time.Now()
