--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,6 +1,6 @@
-// Package ledger runs the claims of requests that may not be repeated: it sends
-// an entry's claims to the owner of their shard, and batches the claims of the
-// shards owned here into the platform's service.
+// Package ledger records the claims of requests that must not run twice. It sends an
+// entry's claims to the owner of their shard, and writes the claims of the shards owned
+// here to the platform's store in batches.
 package ledger
 
 import (
@@ -22,35 +22,35 @@
 )
 
 const (
-	topicAsk     = "claim.ask"
+	topicClaim   = "claim.ask"
 	topicAbandon = "claim.abandon"
-	fastTick     = 10 * time.Millisecond // while any claim waits
-	slowTick     = time.Minute
-	listPage     = 64
+	busyInterval = 10 * time.Millisecond // while any claim waits
+	idleInterval = time.Minute
+	pageSize     = 64
 )
 
-// question is a claim on its way to its shard's owner.
-type question struct {
+// claimRequest sends a claim to the owner of its shard.
+type claimRequest struct {
 	Claim claim.Claim   `cbor:"1,keyasint"`
 	Wait  time.Duration `cbor:"2,keyasint"`
 }
 
-// abandonment takes back a claim whose request will never run.
-type abandonment struct {
+// abandonRequest withdraws the claim of a request that will never run.
+type abandonRequest struct {
 	Key     claim.Key `cbor:"1,keyasint"`
 	Request string    `cbor:"2,keyasint"`
 }
 
-// Options are the settings and seams of a ledger.
+// Options are the settings and dependencies of a ledger.
 type Options struct {
 	Shards   int
 	Interval time.Duration
 	Now      func() clock.Millis
-	// Owner names the process that batches a shard.
+	// Owner returns the process that batches a shard.
 	Owner func(shard string) (netip.AddrPort, bool)
 }
 
-// Ledger is one process's part in the claims. Lock order: Ledger, then shard.
+// Ledger handles claims on one process. Lock order: Ledger, then shard.
 type Ledger struct {
 	options   Options
 	store     *platform.Store
@@ -59,36 +59,36 @@
 	ticker    *ticker.Ticker
 
 	mu     sync.Mutex
-	shards map[int]*running
+	shards map[int]*localShard
 }
 
-// running is a shard with the asks that wait here for its answers.
-type running struct {
+// localShard is a shard with the callers that wait here for its answers.
+type localShard struct {
 	mu      sync.Mutex
 	shard   *claim.Shard
-	next    int64
+	lastID  int64
 	waiters map[int64]chan claim.Answer
 }
 
-// New returns a ledger that owns no shard yet.
+// New returns a ledger without shards.
 func New(o Options, store *platform.Store, t *peer.Transport, scope tally.Scope) *Ledger {
-	return &Ledger{options: o, store: store, transport: t, scope: scope, ticker: ticker.New(fastTick, slowTick), shards: map[int]*running{}}
+	return &Ledger{options: o, store: store, transport: t, scope: scope, ticker: ticker.New(busyInterval, idleInterval), shards: map[int]*localShard{}}
 }
 
-// Register adds the handlers of other processes' claims.
+// Register adds the handlers for claims from other processes.
 func (l *Ledger) Register(r *message.Router) {
-	peer.Answer(r, l.transport, topicAsk, func(ctx context.Context, _ peer.Sender, q question) claim.Answer {
+	peer.Answer(r, l.transport, topicClaim, func(ctx context.Context, _ peer.Sender, q claimRequest) claim.Answer {
 		ctx, cancel := context.WithTimeout(ctx, q.Wait)
 		defer cancel()
-		return l.claimHere(ctx, q.Claim, q.Wait)
+		return l.claimLocal(ctx, q.Claim, q.Wait)
 	})
-	peer.Handle(r, l.transport, topicAbandon, func(_ peer.Sender, a abandonment) { l.abandonHere(a) })
+	peer.Handle(r, l.transport, topicAbandon, func(_ peer.Sender, a abandonRequest) { l.abandonLocal(a) })
 }
 
-// Run lets the shards' time pass until ctx ends.
+// Run advances the shards until ctx ends.
 func (l *Ledger) Run(ctx context.Context) {
 	l.ticker.Run(ctx, func() (busy bool) {
-		for _, r := range l.running() {
+		for _, r := range l.localShards() {
 			l.apply(r, func(now clock.Millis) []claim.Effect {
 				if r.shard.Idle() {
 					return nil
@@ -101,74 +101,75 @@
 	})
 }
 
-func (l *Ledger) running() []*running {
+func (l *Ledger) localShards() []*localShard {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	all := make([]*running, 0, len(l.shards))
+	all := make([]*localShard, 0, len(l.shards))
 	for _, r := range l.shards {
 		all = append(all, r)
 	}
 	return all
 }
 
-// Claim asks the shard's owner, then this process itself; it answers Unavailable
-// when neither does in time.
+// Claim sends a claim to the shard's owner, and falls back to this process. It returns
+// Unavailable if neither answers in time.
 func (l *Ledger) Claim(ctx context.Context, c claim.Claim, wait time.Duration) claim.Answer {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	owner, ok := l.owner(c.Key)
 	if !ok || owner == l.transport.Address() {
-		return l.abandonUnlessClaimed(c, l.claimHere(ctx, c, wait))
+		return l.abandonIfUnavailable(c, l.claimLocal(ctx, c, wait))
 	}
-	asking, stop := context.WithTimeout(ctx, wait/2)
-	defer stop()
-	answer, err := peer.Ask[question, claim.Answer](asking, l.transport, owner, topicAsk, question{Claim: c, Wait: wait / 2})
+	ownerCtx, cancelOwner := context.WithTimeout(ctx, wait/2)
+	defer cancelOwner()
+	answer, err := peer.Ask[claimRequest, claim.Answer](ownerCtx, l.transport, owner, topicClaim, claimRequest{Claim: c, Wait: wait / 2})
 	if err == nil {
-		return l.abandonUnlessClaimed(c, answer)
+		return l.abandonIfUnavailable(c, answer)
 	}
-	// The owner is gone, or paused. Any process may claim, since the head's
-	// version decides; should the owner have written this claim, it is read.
+	// The owner is gone or paused. Any process may write claims, because the store
+	// checks the version of the shard's head. If the owner has written this claim
+	// already, it is read back.
 	l.scope.Counter("claim_owner_silent").Inc(1)
-	return l.abandonUnlessClaimed(c, l.claimHere(ctx, c, wait/2))
+	return l.abandonIfUnavailable(c, l.claimLocal(ctx, c, wait/2))
 }
 
-// abandonUnlessClaimed frees the key of a request that its entry now refuses.
-func (l *Ledger) abandonUnlessClaimed(c claim.Claim, a claim.Answer) claim.Answer {
+// abandonIfUnavailable frees the key of a request that its entry now refuses.
+func (l *Ledger) abandonIfUnavailable(c claim.Claim, a claim.Answer) claim.Answer {
 	if a.Verdict == claim.Unavailable {
 		l.Abandon(c)
 	}
 	return a
 }
 
-// Abandon tells the owner that a claimed request will never run.
+// Abandon notifies the owner that a claimed request will never run.
 func (l *Ledger) Abandon(c claim.Claim) {
-	a := abandonment{Key: c.Key, Request: c.Request}
+	a := abandonRequest{Key: c.Key, Request: c.Request}
 	owner, ok := l.owner(c.Key)
 	if !ok || owner == l.transport.Address() {
-		l.abandonHere(a)
+		l.abandonLocal(a)
 		return
 	}
-	_ = peer.Send(l.transport, owner, topicAbandon, a) // lost: the key stays taken
+	_ = peer.Send(l.transport, owner, topicAbandon, a) // if it is lost, the key stays claimed
 }
 
 func (l *Ledger) owner(k claim.Key) (netip.AddrPort, bool) {
 	return l.options.Owner("claims/" + strconv.Itoa(k.Shard(l.options.Shards)))
 }
 
-func (l *Ledger) abandonHere(a abandonment) {
+func (l *Ledger) abandonLocal(a abandonRequest) {
 	r := l.shard(a.Key)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.shard.Abandon(a.Key, a.Request)
 }
 
-func (l *Ledger) claimHere(ctx context.Context, c claim.Claim, wait time.Duration) claim.Answer {
+func (l *Ledger) claimLocal(ctx context.Context, c claim.Claim, wait time.Duration) claim.Answer {
 	r := l.shard(c.Key)
 	reply := make(chan claim.Answer, 1)
 	l.apply(r, func(now clock.Millis) []claim.Effect {
-		r.next++
-		r.waiters[r.next] = reply
-		return r.shard.Ask(now, r.next, c, now.Add(wait))
+		r.lastID++
+		r.waiters[r.lastID] = reply
+		return r.shard.Ask(now, r.lastID, c, now.Add(wait))
 	})
 	l.ticker.Wake()
 	select {
@@ -180,21 +181,21 @@
 	}
 }
 
-func (l *Ledger) shard(k claim.Key) *running {
+func (l *Ledger) shard(k claim.Key) *localShard {
 	number := k.Shard(l.options.Shards)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r, ok := l.shards[number]
 	if !ok {
-		r = &running{shard: claim.NewShard(number, l.options.Interval), waiters: map[int64]chan claim.Answer{}}
+		r = &localShard{shard: claim.NewShard(number, l.options.Interval), waiters: map[int64]chan claim.Answer{}}
 		l.shards[number] = r
 	}
 	return r
 }
 
-// apply runs one step of a shard under its lock and carries out the effects
-// outside it.
-func (l *Ledger) apply(r *running, step func(clock.Millis) []claim.Effect) {
+// apply runs a step of a shard under its lock and carries out the effects after
+// unlocking it.
+func (l *Ledger) apply(r *localShard, step func(clock.Millis) []claim.Effect) {
 	r.mu.Lock()
 	effects := step(l.options.Now())
 	for _, e := range effects {
@@ -215,8 +216,9 @@
 	}
 }
 
-// reply gives an ask its only answer; the caller holds the shard's lock.
-func (l *Ledger) reply(r *running, e claim.Reply) {
+// reply delivers the only answer to a waiting caller. The caller of reply holds the
+// shard's lock.
+func (l *Ledger) reply(r *localShard, e claim.Reply) {
 	waiter, ok := r.waiters[e.Ask]
 	if !ok {
 		l.scope.Counter("invariants_violated").Inc(1)
@@ -226,17 +228,17 @@
 	waiter <- e.Answer
 }
 
-func (l *Ledger) load(r *running, e claim.Load) {
+func (l *Ledger) load(r *localShard, e claim.Load) {
 	var all []platform.Entry
 	after := ""
 	for {
-		page, err := l.store.List(context.Background(), e.Prefix, after, listPage)
+		page, err := l.store.List(context.Background(), e.Prefix, after, pageSize)
 		if err != nil {
 			l.apply(r, r.shard.Failed)
 			return
 		}
 		all = append(all, page...)
-		if len(page) < listPage {
+		if len(page) < pageSize {
 			break
 		}
 		after = page[len(page)-1].Key
@@ -244,7 +246,7 @@
 	l.apply(r, func(now clock.Millis) []claim.Effect { return r.shard.Loaded(now, all) })
 }
 
-func (l *Ledger) write(r *running, e claim.Write) {
+func (l *Ledger) write(r *localShard, e claim.Write) {
 	l.scope.Counter("claim_writes").Inc(1)
 	if e.Segment != "" {
 		_, err := l.store.Put(context.Background(), e.Segment, e.Put, 0)
