--- a/internal/permit/strategies_test.go
+++ b/internal/permit/strategies_test.go
@@ -115,9 +115,9 @@
 	return w.results(from)
 }
 
-// quotaInstance is an instance that applies the limits as those of workspaces (package
-// quota): every 100 ms reports and sums are exchanged, and a fraction of the demand is
-// admitted.
+// quotaInstance is an instance that applies the limits like those of workspaces
+// (package quota): reports and sums are exchanged every 100 ms, and a fraction of the
+// demand is admitted.
 type quotaInstance struct {
 	gate   *admission.Gate
 	ledger *quota.Ledger
@@ -184,11 +184,11 @@
 		first(zone).ledger.Step(w.now, limits, present)
 	}
 	for _, zone := range w.zones {
-		words, sums := first(zone).ledger.Words(), first(zone).ledger.Sums(w.now)
+		statuses, sums := first(zone).ledger.Words(), first(zone).ledger.Sums(w.now)
 		for n, i := range w.instances {
 			if i.zone == zone {
-				all[n].gate.Hear(w.now, words)
-				w.countOneWay(words)
+				all[n].gate.Hear(w.now, statuses)
+				w.countOneWay(statuses)
 			}
 		}
 		for _, other := range w.zones {
