--- a/internal/quota/cost_test.go
+++ b/internal/quota/cost_test.go
@@ -8,18 +8,18 @@
 	"github.com/trailshed/trailshed/internal/quota"
 )
 
-// What limits cost: messages and bytes an instance and second, without frames, while
-// all workspaces send their usual and one of them six times that. Requests a second
-// grow with the fleet: five for each instance.
+// BenchmarkMessages reports the messages and bytes per instance and second, without
+// framing, while all workspaces send their usual load and one of them six times that.
+// The request rate grows with the fleet: five a second per instance.
 func BenchmarkMessages(b *testing.B) {
 	sizes := []struct{ instances, zones, workspaces int }{{78, 3, 16}, {373, 3, 16}, {1800, 24, 720}}
 	for _, s := range sizes {
 		b.Run(fmt.Sprint(s.instances), func(b *testing.B) {
 			for b.Loop() {
 				limits := map[string]quota.Limit{}
-				asked := 5 * request * float64(s.instances) / float64(s.workspaces)
+				asked := 5 * requestUnits * float64(s.instances) / float64(s.workspaces)
 				for n := range s.workspaces {
-					limits[fmt.Sprint("workspace", n)] = quota.Limit{Rate: asked / usual, Burst: asked / usual}
+					limits[fmt.Sprint("workspace", n)] = quota.Limit{Rate: asked / usualRatio, Burst: asked / usualRatio}
 				}
 				w := newWorld(1, s.instances, s.zones, limits)
 				demand := func(workspace string, _ *instance) float64 {
@@ -28,10 +28,10 @@
 					}
 					return asked / float64(s.instances)
 				}
-				w.play(span, demand) // until it is known what ran before
-				w.weigh, w.messages = true, 0
+				w.run(window, demand) // until the ledgers know what ran before
+				w.countBytes, w.messages = true, 0
 				const seconds = 2
-				w.play(seconds*time.Second, demand)
+				w.run(seconds*time.Second, demand)
 				each := float64(s.instances) * seconds
 				b.ReportMetric(float64(w.messages)/each, "messages/instance/s")
 				b.ReportMetric(float64(w.bytes)/each, "bytes/instance/s")
--- a/internal/quota/main_test.go
+++ b/internal/quota/main_test.go
@@ -7,7 +7,7 @@
 	"github.com/trailshed/trailshed/internal/standin/seed"
 )
 
-// checks is few, since each run is some tens of seconds of a whole fleet.
-const checks = 150
+// fleetChecks is small because each check simulates tens of seconds of a whole fleet.
+const fleetChecks = 150
 
-func TestMain(m *testing.M) { os.Exit(seed.MainOf(m, checks)) }
+func TestMain(m *testing.M) { os.Exit(seed.MainOf(m, fleetChecks)) }
--- a/internal/quota/rate.go
+++ b/internal/quota/rate.go
@@ -8,43 +8,45 @@
 )
 
 const (
-	// smoothing is over which time a rate is averaged: some requests of a workspace
-	// come in it.
-	smoothing = 500 * time.Millisecond
-	// surge is the same where a rise must be seen soon. A workspace that sends six
-	// times its usual when a general burst begins spends in half a second all by
-	// which a limit may be exceeded.
-	surge = 200 * time.Millisecond
+	// smoothingTime is the time constant of averaged rates. Several requests of a
+	// workspace arrive within it.
+	smoothingTime = 500 * time.Millisecond
+	// fastSmoothingTime is the time constant where an increase must be noticed soon. A
+	// workspace that sends six times its usual load when a general burst begins uses up
+	// within half a second everything by which a limit may be exceeded.
+	fastSmoothingTime = 200 * time.Millisecond
 )
 
 // rate is an exponential average of units a second.
 type rate struct {
-	over  time.Duration
-	value float64
-	at    clock.Millis
+	period time.Duration
+	value  float64
+	at     clock.Millis
 }
 
 func (r *rate) add(now clock.Millis, units float64) {
-	r.value = r.now(now) + units/r.over.Seconds()
+	r.value = r.now(now) + units/r.period.Seconds()
 	r.at = now
 }
 
 func (r *rate) now(now clock.Millis) float64 {
-	past := now.Sub(r.at)
-	if past <= 0 {
+	elapsed := now.Sub(r.at)
+	if elapsed <= 0 {
 		return r.value
 	}
-	return r.value * math.Exp(-past.Seconds()/r.over.Seconds())
+	return r.value * math.Exp(-elapsed.Seconds()/r.period.Seconds())
 }
 
-// steep is by how much the rate of a short time must exceed that of a longer one to
-// be taken for a rise rather than for chance.
-const steep = 1.5
+// riseRatio is how many times the slow average the fast one must exceed to count as an
+// increase rather than noise.
+const riseRatio = 1.5
 
 // demand is a rate that rises fast and falls slowly.
 type demand struct{ fast, slow rate }
 
-func newDemand() demand { return demand{fast: rate{over: surge}, slow: rate{over: smoothing}} }
+func newDemand() demand {
+	return demand{fast: rate{period: fastSmoothingTime}, slow: rate{period: smoothingTime}}
+}
 
 func (d *demand) add(now clock.Millis, units float64) {
 	d.fast.add(now, units)
@@ -53,47 +55,48 @@
 
 func (d *demand) now(now clock.Millis) float64 {
 	fast, slow := d.fast.now(now), d.slow.now(now)
-	if fast > steep*slow {
+	if fast > riseRatio*slow {
 		return fast
 	}
 	return slow
 }
 
-// spans divides a window; the units of one leave together.
-const spans = 40
+// windowSteps is how many steps a window is divided into; units expire a step at a
+// time.
+const windowSteps = 40
 
-// window sums units over a span of time, never over less than its length.
+// window sums units over a sliding time span, never over less than its length.
 type window struct {
 	length time.Duration
-	units  [spans + 1]float64
-	last   int64 // number of the newest span
+	units  [windowSteps + 1]float64
+	newest int64 // number of the newest step
 }
 
-// newWindow returns a window that ends at now and was filled at a rate.
+// newWindow returns a window that ends at now and contains use at a constant rate.
 func newWindow(now clock.Millis, length time.Duration, perSecond float64) window {
 	w := window{length: length}
-	w.last = w.span(now)
+	w.newest = w.step(now)
 	for i := range w.units {
-		w.units[i] = perSecond * w.spanLength().Seconds()
+		w.units[i] = perSecond * w.stepLength().Seconds()
 	}
 	return w
 }
 
-func (w *window) spanLength() time.Duration { return max(w.length/spans, time.Millisecond) }
+func (w *window) stepLength() time.Duration { return max(w.length/windowSteps, time.Millisecond) }
 
-func (w *window) span(now clock.Millis) int64 { return int64(now) / w.spanLength().Milliseconds() }
+func (w *window) step(now clock.Millis) int64 { return int64(now) / w.stepLength().Milliseconds() }
 
 func (w *window) add(now clock.Millis, units float64) {
 	w.advance(now)
-	w.units[w.last%(spans+1)] += units
+	w.units[w.newest%(windowSteps+1)] += units
 }
 
-// addOver adds units that came evenly over a span of time until now.
-func (w *window) addOver(now clock.Millis, past time.Duration, units float64) {
+// addOver adds units that were used evenly over a period until now.
+func (w *window) addOver(now clock.Millis, period time.Duration, units float64) {
 	w.advance(now)
-	n := int64(past/w.spanLength()) + 1
-	for i := range min(n, spans+1) {
-		w.units[(w.last-i)%(spans+1)] += units / float64(n)
+	n := int64(period/w.stepLength()) + 1
+	for i := range min(n, windowSteps+1) {
+		w.units[(w.newest-i)%(windowSteps+1)] += units / float64(n)
 	}
 }
 
@@ -103,16 +106,16 @@
 	for _, u := range w.units {
 		total += u
 	}
-	return max(total, 0) // credits may come in a later span than what they take back
+	return max(total, 0) // a credit may be added in a later step than the use it reverts
 }
 
 func (w *window) advance(now clock.Millis) {
-	newest := w.span(now)
-	if newest-w.last > spans+1 {
-		w.last = newest - spans - 1
+	step := w.step(now)
+	if step-w.newest > windowSteps+1 {
+		w.newest = step - windowSteps - 1
 	}
-	for w.last < newest {
-		w.last++
-		w.units[w.last%(spans+1)] = 0
+	for w.newest < step {
+		w.newest++
+		w.units[w.newest%(windowSteps+1)] = 0
 	}
 }
--- a/internal/quota/zone.go
+++ b/internal/quota/zone.go
@@ -6,79 +6,79 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// zoneSums is another zone, as last heard.
-type zoneSums struct {
-	at     clock.Millis
-	life   uint64
-	away   float64
-	rates  map[string]Rates
-	frozen map[string]float64 // its part of each limit, from when it fell silent; nil while it is heard
+// zoneState is the last known state of another zone.
+type zoneState struct {
+	receivedAt   clock.Millis
+	incarnation  uint64
+	reserved     float64
+	rates        map[string]Rates
+	frozenShares map[string]float64 // its shares of the limits when it fell silent; nil while its sums are current
 }
 
-// TakeSums takes another zone's sums. What ran there is added as it is told; after a
-// silence it is spread over it, less the part that was kept for the zone meanwhile.
+// TakeSums adds another zone's sums. What ran there is added as reported. After a gap
+// it is spread over the gap, less the share that was reserved for the zone meanwhile.
 func (l *Ledger) TakeSums(now clock.Millis, s Sums) {
-	z := &zoneSums{at: now, life: s.Life, away: s.Away, rates: make(map[string]Rates, len(s.Rates))}
+	z := &zoneState{receivedAt: now, incarnation: s.Life, reserved: s.Away, rates: make(map[string]Rates, len(s.Rates))}
 	before := l.zones[s.Zone]
 	for _, r := range s.Rates {
 		z.rates[r.Workspace] = r
 		if before == nil || before.rates == nil {
 			continue
 		}
-		gap := now.Sub(before.at)
+		gap := now.Sub(before.receivedAt)
 		ran := r.Total - before.rates[r.Workspace].Total
-		if before.life != s.Life {
-			ran = r.Ran * min(gap, zoneSilence).Seconds()
+		if before.incarnation != s.Life {
+			ran = r.Ran * min(gap, zoneTimeout).Seconds()
 		}
-		b := l.book(r.Workspace)
-		if gap > zoneSilence {
-			ran -= before.frozen[r.Workspace] * b.limit.Rate * (gap - zoneSilence).Seconds()
+		w := l.workspace(r.Workspace)
+		if gap > zoneTimeout {
+			ran -= before.frozenShares[r.Workspace] * w.limit.Rate * (gap - zoneTimeout).Seconds()
 		}
-		b.used.addOver(now, gap, max(ran, 0))
+		w.used.addOver(now, gap, max(ran, 0))
 	}
 	l.zones[s.Zone] = z
 }
 
-// Sums are the own zone's, for other zones' ledgers.
+// Sums returns this zone's sums for the ledgers of other zones.
 func (l *Ledger) Sums(now clock.Millis) Sums {
-	s := Sums{Zone: l.zone, Life: l.life, Away: l.away}
-	for name, b := range l.books {
-		if b.total > 0 {
-			s.Rates = append(s.Rates, Rates{Workspace: name, Asked: b.asked.now(now), Ran: b.ran.now(now), Total: b.total})
+	s := Sums{Zone: l.zone, Life: l.incarnation, Away: l.reserved}
+	for name, w := range l.workspaces {
+		if w.totalRan > 0 {
+			s.Rates = append(s.Rates, Rates{Workspace: name, Asked: w.requested.now(now), Ran: w.ran.now(now), Total: w.totalRan})
 		}
 	}
 	return s
 }
 
-// watch notes which zones have fallen silent and keeps for each the part of every
-// limit that it had by what was asked there.
-func (l *Ledger) watch(now clock.Millis, limits map[string]Limit, p Present) {
+// trackZones detects zones that have fallen silent and freezes their shares of the
+// limits, according to the demand there.
+func (l *Ledger) trackZones(now clock.Millis, limits map[string]Limit, p Present) {
 	for zone := range p.Zones {
 		if zone != l.zone && l.zones[zone] == nil {
-			l.zones[zone] = &zoneSums{at: now.Add(-zoneSilence - time.Millisecond)} // not heard yet
+			l.zones[zone] = &zoneState{receivedAt: now.Add(-zoneTimeout - time.Millisecond)} // no sums received yet
 		}
 	}
 	for zone, z := range l.zones {
-		if now.Sub(z.at) > lapse && !p.Zones[zone] {
+		if now.Sub(z.receivedAt) > reservationTimeout && !p.Zones[zone] {
 			delete(l.zones, zone)
 			continue
 		}
-		if now.Sub(z.at) > zoneSilence && z.frozen == nil {
-			z.frozen = l.parts(now, limits, z)
+		if now.Sub(z.receivedAt) > zoneTimeout && z.frozenShares == nil {
+			z.frozenShares = l.zoneShares(now, limits, z)
 		}
 	}
 }
 
-// parts are a zone's parts of all limits.
-func (l *Ledger) parts(now clock.Millis, limits map[string]Limit, of *zoneSums) map[string]float64 {
-	parts := make(map[string]float64, len(limits))
+// zoneShares returns a zone's share of each limit.
+func (l *Ledger) zoneShares(now clock.Millis, limits map[string]Limit, zone *zoneState) map[string]float64 {
+	shares := make(map[string]float64, len(limits))
 	for name, limit := range limits {
-		even := evenPart*limit.Rate + least
-		total := l.book(name).asked.now(now) + even
+		minShare := evenFraction*limit.Rate + minRate
+		total := l.workspace(name).requested.now(now) + minShare
 		for _, z := range l.zones {
-			total += z.rates[name].Asked + even
+			total += z.rates[name].Asked + minShare
 		}
-		parts[name] = (of.rates[name].Asked + even) / total
+		shares[name] = (zone.rates[name].Asked + minShare) / total
 	}
-	return parts
+	return shares
 }
