--- a/internal/metering/metering.go
+++ b/internal/metering/metering.go
@@ -1,7 +1,8 @@
-// Package metering runs the limits of workspaces: it admits this instance's
-// requests, reports to the ledgers of its zone and, if it keeps one of them,
-// exchanges sums with other zones and tells the zone's instances what they may
-// admit. Where the configuration has no limits it sends nothing.
+// Package metering enforces the limits of workspaces. It admits this instance's
+// requests and reports them to the ledgers of its zone. If it runs one of these
+// ledgers, it also exchanges sums with other zones and sends the zone's instances the
+// statuses by which they admit requests. If the configuration has no limits it sends
+// nothing.
 package metering
 
 import (
@@ -26,56 +27,57 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// The topics between instances.
+// Topics of messages between instances.
 const (
 	topicReport = "limits.report"
 	topicSums   = "limits.sums"
-	topicWords  = "limits.words"
+	topicStatus = "limits.words"
 )
 
-// roleLedger is the role of keeping a zone's ledger.
+// roleLedger is the role of running a zone's ledger.
 const roleLedger = "ledger"
 
 const (
-	// tickEvery is how often an instance looks at what to send.
-	tickEvery = 100 * time.Millisecond
-	// idleEvery is the same while no workspace has a limit.
-	idleEvery = 400 * time.Millisecond
-	// reportEvery is how often it reports what has changed; while some workspace
-	// is near its limit it does so at each tick. At 78 instances, 375 requests a second
-	// are about five reports a second each.
-	reportEvery = 200 * time.Millisecond
-	// wholeEvery is how often instances report everything and ledgers tell words, also
-	// if there is nothing new: silence means that the other is not reached.
-	wholeEvery = 400 * time.Millisecond
-	// sumsEvery is how often zones exchange sums; while some workspace is near its
+	// tickInterval is how often an instance checks what to send.
+	tickInterval = 100 * time.Millisecond
+	// idleInterval is the same while no workspace has a limit.
+	idleInterval = 400 * time.Millisecond
+	// reportInterval is how often an instance reports what has changed. While some
+	// workspace is near its limit it reports at each tick. At 78 instances, 375
+	// requests a second are about five reports a second each.
+	reportInterval = 200 * time.Millisecond
+	// fullReportInterval is how often instances report everything and ledgers send
+	// statuses even if nothing has changed: a longer silence means that the sender is
+	// unreachable.
+	fullReportInterval = 400 * time.Millisecond
+	// sumsInterval is how often zones exchange sums. While some workspace is near its
 	// limit they do so at each tick.
-	sumsEvery = 200 * time.Millisecond
-	// keepers is how many instances of a zone keep its ledger, so that there is
-	// one that knows what was used when the other dies.
-	keepers = 2
-	// standIn is after how long without a word of the first ledger the second
-	// one tells the zone.
-	standIn = 600 * time.Millisecond
+	sumsInterval = 200 * time.Millisecond
+	// ledgersPerZone is how many instances of a zone run a ledger. If one dies, the
+	// other knows what was used.
+	ledgersPerZone = 2
+	// standbyTimeout is how long the second ledger waits after the last status from the
+	// first before it sends statuses and sums itself.
+	standbyTimeout = 600 * time.Millisecond
 )
 
-// words is what a ledger tells its zone's instances: of all workspaces that are near
-// their limits.
-type words struct {
-	Words []quota.Word `cbor:"1,keyasint"`
+// statusMessage is what a ledger sends to its zone's instances: the status of each
+// workspace near its limit.
+type statusMessage struct {
+	Statuses []quota.Word `cbor:"1,keyasint"`
 }
 
-// reporter is an instance that reports to this one.
+// reporter is an instance that sends reports to this one.
 type reporter struct {
-	address netip.AddrPort
-	life    uint64
-	at      clock.Millis
+	address     netip.AddrPort
+	incarnation uint64
+	reportedAt  clock.Millis
 }
 
-// reporterExpiry is how long an instance is told words after its last report.
+// reporterExpiry is how long after its last report an instance is sent statuses.
 const reporterExpiry = 2 * time.Second
 
-// Options are what a Meter works with.
+// Options configure a Meter.
 type Options struct {
 	Name, Zone string
 	Transport  *peer.Transport
@@ -84,47 +86,48 @@
 	Log        *eventlog.Log
 	Scope      tally.Scope
 	Now        func() clock.Millis
-	// Window is the span of time over which limits are judged.
+	// Window is the time span over which limits are evaluated.
 	Window time.Duration
 }
 
-// Meter is one instance's part. It is safe for concurrent use.
+// Meter enforces the limits on one instance. It is safe for concurrent use.
 type Meter struct {
 	Options
-	life  uint64
-	began clock.Millis
-	// limited are the limits of table; both belong to tick.
-	table   *route.Table
-	limited map[string]quota.Limit
+	incarnation uint64
+	startedAt   clock.Millis
+	// tableLimits are the limits in table. Only tick uses these two.
+	table       *route.Table
+	tableLimits map[string]quota.Limit
 
-	mu       sync.Mutex
-	keeps    bool // a ledger, by which it has judged
-	gate     *admission.Gate
-	ledger   *quota.Ledger
-	reported clock.Millis
-	told     clock.Millis // when words were last told
-	summed   clock.Millis
-	heardAt  clock.Millis // words of another ledger of the zone
-	// reporters are told words: also those whose entry in the store has lapsed, as
-	// where it turns them away, and who are in no roster then.
+	mu               sync.Mutex
+	hasLedger        bool // this instance runs a ledger that has evaluated the limits
+	gate             *admission.Gate
+	ledger           *quota.Ledger
+	reportedAt       clock.Millis
+	statusSentAt     clock.Millis
+	sumsSentAt       clock.Millis
+	statusReceivedAt clock.Millis // from another ledger of the zone
+	// reporters are sent statuses. They include instances whose entry in the store has
+	// lapsed, for example because the store rejects them, and which are in no roster
+	// therefore.
 	reporters map[string]reporter
-	held      map[string]float64 // workspaces that are held back, as far as a line told
+	throttled map[string]float64 // workspaces that were last logged as held back
 }
 
-// New returns a meter that does not run yet.
+// New returns a meter that is not running yet.
 func New(o Options) *Meter {
-	began, life := o.Now(), rand.Uint64()
+	startedAt, incarnation := o.Now(), rand.Uint64()
 	return &Meter{
-		Options: o, life: life, began: began,
-		gate: admission.New(began), ledger: quota.NewLedger(o.Zone, life, o.Window), reporters: map[string]reporter{}, held: map[string]float64{},
+		Options: o, incarnation: incarnation, startedAt: startedAt,
+		gate: admission.New(startedAt), ledger: quota.NewLedger(o.Zone, incarnation, o.Window), reporters: map[string]reporter{}, throttled: map[string]float64{},
 	}
 }
 
-// Register adds the handlers of other instances' messages.
+// Register adds the handlers for messages from other instances.
 func (m *Meter) Register(r *message.Router) {
 	peer.Handle(r, m.Transport, topicReport, func(from peer.Sender, v quota.Report) {
-		if w, first := m.reportedBy(from, v); first {
-			m.send(from.Address, topicWords, w)
+		if w, first := m.addReport(from, v); first {
+			m.send(from.Address, topicStatus, w)
 		}
 	})
 	peer.Handle(r, m.Transport, topicSums, func(_ peer.Sender, v quota.Sums) {
@@ -132,27 +135,28 @@
 		defer m.mu.Unlock()
 		m.ledger.TakeSums(m.Now(), v)
 	})
-	peer.Handle(r, m.Transport, topicWords, func(_ peer.Sender, v words) {
+	peer.Handle(r, m.Transport, topicStatus, func(_ peer.Sender, v statusMessage) {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.heardAt = m.Now()
-		m.hear(v)
+		m.statusReceivedAt = m.Now()
+		m.applyStatus(v)
 	})
 }
 
-// reportedBy takes an instance's report. One that reports for the first time is told
-// all words at once: it has begun a moment ago, and admits what comes until then.
-func (m *Meter) reportedBy(from peer.Sender, r quota.Report) (w words, first bool) {
+// addReport adds an instance's report. For the first report of an instance it returns
+// the statuses to send at once: the instance has just started, and admits all requests
+// until it receives them.
+func (m *Meter) addReport(from peer.Sender, r quota.Report) (w statusMessage, first bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.Now()
 	m.ledger.Take(now, r)
 	before := m.reporters[r.Instance]
-	m.reporters[r.Instance] = reporter{address: from.Address, life: r.Life, at: now}
-	return words{Words: m.ledger.Words()}, m.keeps && before.life != r.Life
+	m.reporters[r.Instance] = reporter{address: from.Address, incarnation: r.Life, reportedAt: now}
+	return statusMessage{Statuses: m.ledger.Words()}, m.hasLedger && before.incarnation != r.Life
 }
 
-// Admit counts a request of so many units to a workspace, unless it is over the
+// Admit counts a request of so many units to a workspace, unless it exceeds the
 // workspace's limit.
 func (m *Meter) Admit(w *route.Workspace, units float64) admission.Verdict {
 	instances := m.Roster.Most()
@@ -161,7 +165,7 @@
 	return m.gate.Admit(m.Now(), w.Name, limitOf(w), units, instances)
 }
 
-// Credit takes back what Admit counted for a request that did not run.
+// Credit reverts what Admit counted for a request that did not run.
 func (m *Meter) Credit(w *route.Workspace, units float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -172,10 +176,10 @@
 	return quota.Limit{Rate: w.Limit.Rate, Burst: w.Limit.Burst}
 }
 
-// Run keeps the limits until ctx ends.
-func (m *Meter) Run(ctx context.Context) { ticker.New(tickEvery, idleEvery).Run(ctx, m.tick) }
+// Run enforces the limits until ctx ends.
+func (m *Meter) Run(ctx context.Context) { ticker.New(tickInterval, idleInterval).Run(ctx, m.tick) }
 
-// tick is busy while there are limits.
+// tick returns true while there are limits.
 func (m *Meter) tick() (busy bool) {
 	limits := m.limits()
 	if len(limits) > 0 {
@@ -188,46 +192,47 @@
 	ranked := m.Roster.Ranked(m.Zone, roleLedger)
 	rank := slices.IndexFunc(ranked, func(i roster.Instance) bool { return i.Name == m.Name })
 	now := m.Now()
-	m.report(now, ranked[:min(len(ranked), keepers)])
-	if rank >= 0 && rank < keepers { // who is in no roster keeps none
-		m.keep(now, limits, ranked, rank)
+	m.report(now, ranked[:min(len(ranked), ledgersPerZone)])
+	if rank >= 0 && rank < ledgersPerZone { // an instance in no roster runs no ledger
+		m.runLedger(now, limits, ranked, rank)
 		return
 	}
 	m.mu.Lock()
-	m.keeps = false
+	m.hasLedger = false
 	m.mu.Unlock()
 }
 
-// limits are those of all workspaces that have one, by name. Only tick calls it.
+// limits returns the limits of all workspaces that have one, by name. Only tick calls
+// it.
 func (m *Meter) limits() map[string]quota.Limit {
 	t := m.Directory.View().Table
 	if t == m.table {
-		return m.limited
+		return m.tableLimits
 	}
-	m.table, m.limited = t, map[string]quota.Limit{}
+	m.table, m.tableLimits = t, map[string]quota.Limit{}
 	for _, w := range t.Workspaces() {
 		if w.Limit.Bound() {
-			m.limited[w.Name] = limitOf(&w)
+			m.tableLimits[w.Name] = limitOf(&w)
 		}
 	}
-	return m.limited
+	return m.tableLimits
 }
 
-// report tells the zone's ledgers what was asked here and what ran.
+// report sends the zone's ledgers what was requested here and what ran.
 func (m *Meter) report(now clock.Millis, to []roster.Instance) {
 	m.mu.Lock()
-	past := now.Sub(m.reported)
-	if past < reportEvery && !m.gate.Near() {
+	elapsed := now.Sub(m.reportedAt)
+	if elapsed < reportInterval && !m.gate.Near() {
 		m.mu.Unlock()
 		return
 	}
-	whole := past >= wholeEvery
-	r := quota.Report{Instance: m.Name, Life: m.life, Age: now.Sub(m.began), Uses: m.gate.Report(whole)}
-	if len(r.Uses) == 0 && !whole {
+	full := elapsed >= fullReportInterval
+	r := quota.Report{Instance: m.Name, Life: m.incarnation, Age: now.Sub(m.startedAt), Uses: m.gate.Report(full)}
+	if len(r.Uses) == 0 && !full {
 		m.mu.Unlock()
 		return
 	}
-	m.reported = now
+	m.reportedAt = now
 	m.mu.Unlock()
 	for _, i := range to {
 		if i.Name != m.Name {
@@ -240,43 +245,43 @@
 	}
 }
 
-// keep judges the workspaces and tells others. The second keeper speaks only
-// while the first is silent.
-func (m *Meter) keep(now clock.Millis, limits map[string]quota.Limit, zone []roster.Instance, rank int) {
+// runLedger evaluates the workspaces and sends the results. The second ledger sends
+// them only while the first is silent.
+func (m *Meter) runLedger(now clock.Millis, limits map[string]quota.Limit, zone []roster.Instance, rank int) {
 	all := m.Roster.All()
 	m.mu.Lock()
-	m.ledger.Step(now, limits, m.present(all, zone))
-	m.keeps = true
-	m.note()
-	speaks := rank == 0 || now.Sub(m.heardAt) > standIn
-	w, tells := m.words(now)
-	sends := speaks && (m.ledger.Near() || now.Sub(m.summed) >= sumsEvery)
+	m.ledger.Step(now, limits, m.membership(all, zone))
+	m.hasLedger = true
+	m.logChanges()
+	active := rank == 0 || now.Sub(m.statusReceivedAt) > standbyTimeout
+	w, statusDue := m.nextStatus(now)
+	sumsDue := active && (m.ledger.Near() || now.Sub(m.sumsSentAt) >= sumsInterval)
 	var s quota.Sums
-	if sends {
-		m.summed = now
+	if sumsDue {
+		m.sumsSentAt = now
 		s = m.ledger.Sums(now)
 	}
-	var hearers []netip.AddrPort
-	if speaks && tells {
-		m.hear(w)
-		hearers = m.hearers(now)
+	var recipients []netip.AddrPort
+	if active && statusDue {
+		m.applyStatus(w)
+		recipients = m.statusRecipients(now)
 	}
 	m.mu.Unlock()
-	for _, to := range hearers {
-		m.send(to, topicWords, w)
+	for _, to := range recipients {
+		m.send(to, topicStatus, w)
 	}
-	if sends {
-		for _, i := range m.Roster.FirstOfOthers(m.Zone, roleLedger, keepers) {
+	if sumsDue {
+		for _, i := range m.Roster.FirstOfOthers(m.Zone, roleLedger, ledgersPerZone) {
 			m.send(i.Address, topicSums, s)
 		}
 	}
 }
 
-// hearers are those who reported lately.
-func (m *Meter) hearers(now clock.Millis) []netip.AddrPort {
+// statusRecipients returns the instances that reported recently.
+func (m *Meter) statusRecipients(now clock.Millis) []netip.AddrPort {
 	var list []netip.AddrPort
 	for name, r := range m.reporters {
-		if now.Sub(r.at) > reporterExpiry {
+		if now.Sub(r.reportedAt) > reporterExpiry {
 			delete(m.reporters, name)
 			continue
 		}
@@ -285,17 +290,17 @@
 	return list
 }
 
-// words are what is to be told now, if anything.
-func (m *Meter) words(now clock.Millis) (w words, tells bool) {
+// nextStatus returns the statuses to send now, if they are due.
+func (m *Meter) nextStatus(now clock.Millis) (w statusMessage, due bool) {
 	near := m.ledger.Near()
-	if !near && now.Sub(m.told) < wholeEvery {
-		return words{}, false
+	if !near && now.Sub(m.statusSentAt) < fullReportInterval {
+		return statusMessage{}, false
 	}
-	m.told = now
-	return words{Words: m.ledger.Words()}, true
+	m.statusSentAt = now
+	return statusMessage{Statuses: m.ledger.Words()}, true
 }
 
-func (m *Meter) present(all, zone []roster.Instance) quota.Present {
+func (m *Meter) membership(all, zone []roster.Instance) quota.Present {
 	p := quota.Present{Zones: map[string]bool{}, Instances: map[string]bool{}, Total: m.Roster.Most()}
 	for _, i := range all {
 		p.Zones[i.Zone] = true
@@ -306,23 +311,23 @@
 	return p
 }
 
-// hear gives words to the gate.
-func (m *Meter) hear(w words) { m.gate.Hear(m.Now(), w.Words) }
+// applyStatus passes statuses to the gate.
+func (m *Meter) applyStatus(w statusMessage) { m.gate.Hear(m.Now(), w.Statuses) }
 
-// note writes a line when a workspace begins or ends to be held back.
-func (m *Meter) note() {
-	held := m.ledger.Held()
-	for name, used := range held {
-		if _, was := m.held[name]; !was {
+// logChanges logs when a workspace starts or stops being held back.
+func (m *Meter) logChanges() {
+	throttled := m.ledger.Held()
+	for name, used := range throttled {
+		if _, was := m.throttled[name]; !was {
 			m.Log.Write(eventlog.Line{Event: eventlog.Believed, Outcome: "workspace_held_back", Workspace: name, Count: int64(used)})
 		}
 	}
-	for name := range m.held {
-		if _, is := held[name]; !is {
+	for name := range m.throttled {
+		if _, is := throttled[name]; !is {
 			m.Log.Write(eventlog.Line{Event: eventlog.Believed, Outcome: "workspace_let_through", Workspace: name})
 		}
 	}
-	m.held = held
+	m.throttled = throttled
 }
 
 func (m *Meter) send(to netip.AddrPort, topic string, v any) {
--- a/internal/metering/metering_test.go
+++ b/internal/metering/metering_test.go
@@ -17,8 +17,8 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// node is a meter with its transport, which accepts every certificate. Its time
-// stands still unless the test moves it, and nothing ticks by itself.
+// node is a meter with its transport, which accepts every certificate. Its clock moves
+// only when the test advances it, and nothing ticks by itself.
 type node struct {
 	*Meter
 	self roster.Instance
@@ -36,7 +36,7 @@
 	now := func() clock.Millis { return clock.Millis(n.now.Load()) }
 	n.self = roster.Instance{Name: name, Zone: "a", Address: transport.Address(), Fingerprint: name, Capacity: capacity, Revision: 1}
 	n.Meter = New(Options{
-		Name: name, Zone: "a", Transport: transport, Roster: roster.New(now), Directory: limited(c), Log: log,
+		Name: name, Zone: "a", Transport: transport, Roster: roster.New(now), Directory: limitedDirectory(c), Log: log,
 		Scope: tally.NoopScope, Now: now, Window: 8 * time.Second,
 	})
 	n.Roster.See(n.self)
@@ -46,8 +46,8 @@
 
 var workspace = route.Workspace{Name: "w", Limit: route.Limit{Rate: 1000, Burst: 1000, Tokens: true}}
 
-// limited knows a configuration with one limited workspace.
-func limited(c *qt.C) *directory.Directory {
+// limitedDirectory returns a directory whose configuration has one limited workspace.
+func limitedDirectory(c *qt.C) *directory.Directory {
 	table, err := route.NewTable(route.Document{Version: 1, Keyed: true, Workspaces: []route.Workspace{workspace}})
 	c.Assert(err, qt.IsNil)
 	d := directory.New()
@@ -55,69 +55,70 @@
 	return d
 }
 
-// eventually waits for messages; it asserts only that they come.
+// eventually waits for messages; it asserts only that they arrive.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("never came true: %s", what)
+			t.Fatalf("condition never became true: %s", what)
 		}
 	}
 }
 
-// An instance whose entry in the store has lapsed, as where it turns some away, is in
-// no roster, but its peers reach it: whoever reports is told.
-func TestWhoReportsIsTold(t *testing.T) {
+// An instance whose entry in the store has lapsed, for example because the store
+// rejects it, is in no roster, but its peers can reach it. It must receive statuses
+// when it reports.
+func TestReporterGetsStatus(t *testing.T) {
 	c := qt.New(t)
-	keeper, lapsed := startNode(t, "n1", 2), startNode(t, "n2", 1)
-	lapsed.Roster.See(keeper.self)
-	lapsed.Roster.Remove(roster.Departure{Name: "n2", Revision: 2}) // and the keeper does not know it
-	for _, n := range []*node{keeper, lapsed} {
-		n.now.Store(4000) // older than youth
+	ledger, lapsed := startNode(t, "n1", 2), startNode(t, "n2", 1)
+	lapsed.Roster.See(ledger.self)
+	lapsed.Roster.Remove(roster.Departure{Name: "n2", Revision: 2}) // the roster of the ledger never had it
+	for _, n := range []*node{ledger, lapsed} {
+		n.now.Store(4000) // past the startup time of a gate
 	}
-	keeper.tick()
+	ledger.tick()
 	c.Assert(lapsed.Admit(&workspace, 1).Alone, qt.IsTrue)
 	lapsed.tick()
-	eventually(t, "the instance heard the ledger", func() bool { return !lapsed.Admit(&workspace, 1).Alone })
+	eventually(t, "the instance received a status", func() bool { return !lapsed.Admit(&workspace, 1).Alone })
 }
 
-// What one instance lets through counts at the other.
+// What one instance admits must count on the other.
 func TestUseIsSummed(t *testing.T) {
 	c := qt.New(t)
-	keeper, other := startNode(t, "n1", 2), startNode(t, "n2", 1)
-	other.Roster.See(keeper.self)
-	keeper.Roster.See(other.self)
-	keeper.tick()
+	ledger, other := startNode(t, "n1", 2), startNode(t, "n2", 1)
+	other.Roster.See(ledger.self)
+	ledger.Roster.See(other.self)
+	ledger.tick()
 	other.tick()
-	eventually(t, "the instance heard the ledger", func() bool {
+	eventually(t, "the instance received a status", func() bool {
 		other.mu.Lock()
 		defer other.mu.Unlock()
-		return other.heardAt != 0
+		return other.statusReceivedAt != 0
 	})
 	v := other.Admit(&workspace, 50_000) // five times what a window allows
 	c.Assert(v.Admitted, qt.IsTrue)
 	other.now.Add(500)
 	other.tick()
 	eventually(t, "the workspace is held back", func() bool {
-		keeper.now.Add(100)
-		keeper.tick()
-		return !keeper.Admit(&workspace, 1).Admitted
+		ledger.now.Add(100)
+		ledger.tick()
+		return !ledger.Admit(&workspace, 1).Admitted
 	})
 }
 
 // Without limits nothing is sent.
-func TestNothingWithoutLimits(t *testing.T) {
+func TestNoMessagesWithoutLimits(t *testing.T) {
 	c := qt.New(t)
-	keeper, other := startNode(t, "n1", 2), startNode(t, "n2", 1)
+	ledger, other := startNode(t, "n1", 2), startNode(t, "n2", 1)
 	table, err := route.NewTable(route.Document{Version: 2})
 	c.Assert(err, qt.IsNil)
-	for _, n := range []*node{keeper, other} {
+	for _, n := range []*node{ledger, other} {
 		n.Directory.Apply(2, directory.Configured{Table: table, Revision: 2})
-		n.Roster.See(keeper.self)
+		n.Roster.See(ledger.self)
 		n.Roster.See(other.self)
 		n.now.Store(4000)
 		n.tick()
 	}
-	c.Assert(keeper.reporters, qt.HasLen, 0)
-	c.Assert(other.reported, qt.Equals, clock.Millis(0))
+	c.Assert(ledger.reporters, qt.HasLen, 0)
+	c.Assert(other.reportedAt, qt.Equals, clock.Millis(0))
 }
