--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -23,8 +23,8 @@
 	c := qt.New(t)
 	spent := 0
 	startedAt := startedLongAgo
-	for life := range 2 {
-		now := clock.Millis(5_000 + 1_000*int64(life))
+	for run := range 2 {
+		now := clock.Millis(5_000 + 1_000*int64(run))
 		b := budget.New(rule, shares, startedAt)
 		for range requests {
 			b.Request(now)
--- a/internal/metering/metering_test.go
+++ b/internal/metering/metering_test.go
@@ -72,7 +72,7 @@
 	c := qt.New(t)
 	ledger, lapsed := startNode(t, "n1", 2), startNode(t, "n2", 1)
 	lapsed.Roster.See(ledger.self)
-	lapsed.Roster.Remove(roster.Departure{Name: "n2", Revision: 2}) // the roster of the ledger never had it
+	lapsed.Roster.Remove(roster.Departure{Name: "n2", Revision: 2}) // the other roster never had it
 	for _, n := range []*node{ledger, lapsed} {
 		n.now.Store(4000) // past the startup time of a gate
 	}
--- a/internal/permit/permit_test.go
+++ b/internal/permit/permit_test.go
@@ -54,12 +54,12 @@
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			w := newWorld(1, test.instances, test.zones, 1, test.rate)
-			begin := w.now
+			start := w.now
 			w.run(5*time.Second, test.demand(w)) // until all shares are lent
 			lent := w.now
 			const length = 40 * time.Second
 			w.run(length, test.demand(w))
-			got := w.maxInWindow("e0", begin)
+			got := w.maxInWindow("e0", start)
 			c.Check(got <= bound(test.rate), qt.IsTrue, qt.Commentf("got %d, allowed %d", got, bound(test.rate)))
 			used := float64(w.countSince("e0", lent)) / (test.rate * length.Seconds())
 			c.Check(used >= 0.85, qt.IsTrue, qt.Commentf("%.2f of the limit used", used))
@@ -129,10 +129,10 @@
 			w.run(5*time.Second, w.evenDemand(30))
 			test.fault(w)
 			w.run(5*time.Second, w.evenDemand(30))
-			begin := w.now
+			start := w.now
 			const length = 20 * time.Second
 			w.run(length, w.evenDemand(30))
-			used := float64(w.countSince("e0", begin)) / (rate * length.Seconds())
+			used := float64(w.countSince("e0", start)) / (rate * length.Seconds())
 			c.Assert(used >= test.minUsed, qt.IsTrue, qt.Commentf("%.2f of the limit used", used))
 			c.Assert(w.maxInWindow("e0", 0) <= bound(rate), qt.IsTrue, qt.Commentf("%d in a window", w.maxInWindow("e0", 0)))
 		})
@@ -148,10 +148,10 @@
 		rate := rapid.SampledFrom([]float64{0, 0.2, 1, 4.2, 20}).Draw(t, "rate")
 		w := newWorld(rapid.Uint64().Draw(t, "seed"), instances, zones, 2, rate)
 		w.delay = time.Duration(rapid.IntRange(0, 150).Draw(t, "delay")) * time.Millisecond
-		asked := rapid.SampledFrom([]float64{1, 5, 30}).Draw(t, "asked") * max(rate, 1)
-		demand := w.evenDemand(asked)
+		requested := rapid.SampledFrom([]float64{1, 5, 30}).Draw(t, "asked") * max(rate, 1)
+		demand := w.evenDemand(requested)
 		if rapid.Bool().Draw(t, "uneven") {
-			demand = func(_ limitedEndpoint, i *instance) float64 { return asked / float64(1+i.index*i.index) }
+			demand = func(_ limitedEndpoint, i *instance) float64 { return requested / float64(1+i.index*i.index) }
 		}
 		w.run(2*time.Second, demand)
 		for range rapid.IntRange(1, 8).Draw(t, "faults") {
--- a/internal/permit/strategies_test.go
+++ b/internal/permit/strategies_test.go
@@ -142,10 +142,10 @@
 	for _, z := range w.zones {
 		present.Zones[z] = true
 	}
-	begin := w.now.Add(benchWarmup + 5*time.Second) // a ledger does not know earlier use until it has run for a window
-	for w.now < begin.Add(benchLength) {
+	start := w.now.Add(benchWarmup + 5*time.Second) // a ledger does not know earlier use until it has run for a window
+	for w.now < start.Add(benchLength) {
 		w.now = w.now.Add(step)
-		if w.now == begin {
+		if w.now == start {
 			w.messages, w.bytes = 0, 0
 		}
 		for n, i := range w.instances {
@@ -161,7 +161,7 @@
 			w.exchange(all, limits, present)
 		}
 	}
-	return w.results(begin)
+	return w.results(start)
 }
 
 // exchange sends the reports of all instances to the first of their zone, which
--- a/internal/permit/world_test.go
+++ b/internal/permit/world_test.go
@@ -59,7 +59,7 @@
 	name, zone     string
 	index          int
 	issuer         *permit.Issuer
-	life           int
+	incarnation    int
 	denied         map[string]clock.Millis // by endpoint: time before which no permit is requested
 	startedAt      clock.Millis
 	restartAt      clock.Millis // 0 while it runs
@@ -68,10 +68,10 @@
 }
 
 type delivery struct {
-	at   clock.Millis
-	to   *instance
-	life int
-	do   func()
+	at          clock.Millis
+	to          *instance
+	incarnation int
+	do          func()
 }
 
 func newWorld(seed uint64, instances, zones, endpoints int, rate float64) *world {
@@ -96,7 +96,7 @@
 func (w *world) start(i *instance) {
 	i.issuer, i.restartAt, i.unresponsive = permit.New(w.random.Float64), 0, map[*instance]clock.Millis{}
 	i.denied = map[string]clock.Millis{}
-	i.life++
+	i.incarnation++
 	i.startedAt = w.now
 }
 
@@ -112,7 +112,7 @@
 // first returns the first instance of a zone that by does not consider unresponsive.
 func (w *world) first(by *instance, zone string) *instance {
 	for _, i := range w.instances {
-		if _, silent := by.unresponsive[i]; i.zone == zone && !silent {
+		if _, unresponsive := by.unresponsive[i]; i.zone == zone && !unresponsive {
 			return i
 		}
 	}
@@ -203,8 +203,8 @@
 // probe checks whether unresponsive instances respond again.
 func (w *world) probe(i *instance) {
 	for _, o := range w.instances {
-		at, silent := i.unresponsive[o]
-		if !silent || w.now < at {
+		at, unresponsive := i.unresponsive[o]
+		if !unresponsive || w.now < at {
 			continue
 		}
 		i.unresponsive[o] = w.now.Add(probeInterval)
@@ -255,7 +255,7 @@
 
 func (w *world) post(to *instance, do func()) {
 	at := w.now.Add(time.Duration(w.random.Int64N(int64(w.delay) + 1)))
-	w.inFlight = append(w.inFlight, delivery{at: at, to: to, life: to.life, do: do})
+	w.inFlight = append(w.inFlight, delivery{at: at, to: to, incarnation: to.incarnation, do: do})
 }
 
 func (w *world) deliver() {
@@ -265,7 +265,7 @@
 		switch {
 		case l.at > w.now || l.to.restartAt == 0 && w.now < l.to.suspendedUntil:
 			w.inFlight = append(w.inFlight, l)
-		case l.to.restartAt == 0 && l.to.life == l.life:
+		case l.to.restartAt == 0 && l.to.incarnation == l.incarnation:
 			l.do()
 		}
 	}
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -12,13 +12,9 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// The figures of a shared deployment: a limit is 1.8 times what is usualRatio, an
-// ordinary requestUnits counts 4,000 tokens, and 190,000 tokens may run beyond a limit
-// and a tenth of it.
+// Values of a shared deployment: a limit is 1.8 times the usual load, an ordinary request
+// counts 4,000 tokens, and a limit may be exceeded by a tenth and 190,000 tokens.
 const (
-	// Values of a shared deployment: a limit is 1.8 times the usual load, an ordinary
-	// request counts 4,000 tokens, and a limit may be exceeded by a tenth and 190,000
-	// tokens.
 	requestUnits = 4000.0
 	slack        = 190_000.0
 	usualRatio   = 1 / 1.8 // of the limit's rate
--- a/internal/throttle/loans.go
+++ b/internal/throttle/loans.go
@@ -69,8 +69,8 @@
 }
 
 // probe sends probes to unresponsive instances that rank before the first responsive
-// one of a relevant zone. What is lent to an instance that does not respond is lost to
-// the others.
+// one of a relevant zone. They get no loans, because no instance could use what is lent
+// to one that does not respond.
 func (t *Throttle) probe(ctx context.Context, zones []string) {
 	now := t.Now()
 	for _, zone := range zones {
--- a/internal/throttle/permits.go
+++ b/internal/throttle/permits.go
@@ -208,8 +208,8 @@
 
 // takeReturned uses a returned permit. The caller holds the lock.
 func (t *Throttle) takeReturned(now clock.Millis, endpoint string) bool {
-	s, kept := t.returned[endpoint]
-	if !kept {
+	s, found := t.returned[endpoint]
+	if !found {
 		return false
 	}
 	s.count--
--- a/internal/throttle/throttle.go
+++ b/internal/throttle/throttle.go
@@ -47,7 +47,7 @@
 	// loanTimeout is the timeout of a loan message. No request waits for it.
 	loanTimeout = 200 * time.Millisecond
 	// initialProbeDelay and maxProbeDelay bound the delay between probes of an
-	// unresponsive instance; the delay doubles from one to the other.
+	// unresponsive instance, which doubles with each failure.
 	initialProbeDelay = tickInterval
 	maxProbeDelay     = 2 * time.Second
 	// unresponsiveRetention is how long an unresponsive instance is remembered after
@@ -90,7 +90,7 @@
 	Options
 	active atomic.Bool // some limit is known; otherwise requests are not checked
 
-	mu           sync.Mutex // not held while sending
+	mu           sync.Mutex // never held while sending
 	table        *ratelimit.Table
 	issuer       *permit.Issuer
 	denials      map[string]denial
