--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -47,10 +47,10 @@
 
 // The actions.
 const (
-	Nothing   Action = iota
-	AskStore         // ask the store for its revision and call Heard
-	ListStore        // read everything from the store
-	AskPeer          // ask the peer that Source names
+	Nothing      Action = iota
+	CheckStore          // ask the store for its revision and call Heard
+	ListStore           // read everything from the store
+	PullFromPeer        // ask the peer that Source names
 )
 
 // Freshness is the state of one instance.
@@ -71,25 +71,25 @@
 // everything; a change must be in force within bound.
 func New(bound time.Duration) *Freshness { return &Freshness{bound: bound} }
 
-// Known is what an instance has.
-type Known struct {
+// LocalState is what an instance has.
+type LocalState struct {
 	Revision int64 // up to which it knows everything
 	Digest   uint64
 	Rank     int  // its place in its zone, from 0
-	Zone     int  // instances of the zone
+	ZoneSize int  // instances of the zone
 	Watching bool // it watches the store itself
 	// Endpoints is how many a whole view holds.
 	Endpoints int
 }
 
 // wholePause is the least time between two whole views.
-func (k Known) wholePause() time.Duration {
+func (k LocalState) wholePause() time.Duration {
 	return time.Duration(max(k.Endpoints, viewSize)) * wholeEvery / viewSize
 }
 
-// Heard takes a revision that the store has, told by the peer called source
+// Observe takes a revision that the store has, told by the peer called source
 // with a digest of its beliefs, or by the store itself if source is empty.
-func (f *Freshness) Heard(now clock.Millis, revision int64, digest uint64, source string) {
+func (f *Freshness) Observe(now clock.Millis, revision int64, digest uint64, source string) {
 	f.heardAt = now
 	if revision < f.newest || revision == f.newest && source == "" {
 		return
@@ -97,20 +97,20 @@
 	f.newest, f.digest, f.source = revision, digest, source
 }
 
-// Failed notes that the store did not answer the question for its revision.
-func (f *Freshness) Failed(now clock.Millis) { f.heardAt = now }
+// CheckFailed notes that the store did not answer the question for its revision.
+func (f *Freshness) CheckFailed(now clock.Millis) { f.heardAt = now }
 
 // Source is the peer that knows more, for AskPeer.
 func (f *Freshness) Source() string { return f.source }
 
-// PutOff notes that a peer is there and will answer: it was not asked in vain.
-func (f *Freshness) PutOff() { f.asked = max(f.asked-1, 0) }
+// PeerBusy notes that a peer is there and will answer: it was not asked in vain.
+func (f *Freshness) PeerBusy() { f.asked = max(f.asked-1, 0) }
 
 // Behind says whether something was lacking when it was last decided what to do.
 func (f *Freshness) Behind() bool { return f.behind != 0 }
 
 // Next returns what must be done now.
-func (f *Freshness) Next(now clock.Millis, k Known) Action {
+func (f *Freshness) Next(now clock.Millis, k LocalState) Action {
 	differs := !k.Watching && f.source != "" && k.Revision == f.newest && f.digest != k.Digest
 	if k.Revision >= f.newest && !differs {
 		f.behind, f.asked = 0, 0
@@ -132,13 +132,13 @@
 		return ListStore
 	}
 	f.asked++
-	return AskPeer
+	return PullFromPeer
 }
 
-// Whole says whether to ask a peer for everything, after its changes up to
+// NeedsFullView says whether to ask a peer for everything, after its changes up to
 // revision were taken: the beliefs must be the same then. They are not where a
 // change was not passed on by another peer, which doubted it at that time.
-func (f *Freshness) Whole(now clock.Millis, k Known, revision int64, digest uint64) bool {
+func (f *Freshness) NeedsFullView(now clock.Millis, k LocalState, revision int64, digest uint64) bool {
 	if k.Revision != revision || k.Digest == digest || now.Sub(f.whole) < k.wholePause() {
 		return false
 	}
@@ -146,7 +146,7 @@
 	return true
 }
 
-func (f *Freshness) check(now clock.Millis, k Known) Action {
+func (f *Freshness) check(now clock.Millis, k LocalState) Action {
 	if f.heardAt == 0 {
 		f.heardAt = now // it has just begun by reading everything
 	}
@@ -154,16 +154,16 @@
 		return Nothing
 	}
 	f.heardAt = now // the answer, or its absence, comes before the next check
-	return AskStore
+	return CheckStore
 }
 
 // turn is how long an instance waits for those before it. In a zone of many, ever more
 // take their turns together, so that the last need not wait long, and its whole crowd
 // does not ask at one moment: each turn doubles those who have asked.
-func (k Known) turn() time.Duration {
+func (k LocalState) turn() time.Duration {
 	if k.Rank == 0 {
 		return 0
 	}
-	part := math.Log(float64(1+k.Rank)) / math.Log(float64(1+max(k.Rank, k.Zone)))
+	part := math.Log(float64(1+k.Rank)) / math.Log(float64(1+max(k.Rank, k.ZoneSize)))
 	return min(time.Duration(k.Rank)*rankDelay, time.Duration(part*float64(turnsMost)))
 }
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -24,7 +24,7 @@
 		want freshness.Action
 	}{
 		{"first in rank lists", 0, "", freshness.ListStore},
-		{"told by a peer, asks it", 1, "n1", freshness.AskPeer},
+		{"told by a peer, asks it", 1, "n1", freshness.PullFromPeer},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -33,9 +33,9 @@
 			known := int64(28) // the watch tells nothing newer
 			acted := clock.Millis(0)
 			for now := clock.Millis(10_000); now < 14_000 && acted == 0; now += 50 {
-				switch f.Next(now, freshness.Known{Revision: known, Rank: test.rank, Watching: true}) {
-				case freshness.AskStore:
-					f.Heard(now, 31, 7, test.hint)
+				switch f.Next(now, freshness.LocalState{Revision: known, Rank: test.rank, Watching: true}) {
+				case freshness.CheckStore:
+					f.Observe(now, 31, 7, test.hint)
 				case test.want:
 					acted = now
 				case freshness.Nothing:
@@ -51,11 +51,11 @@
 func TestCaughtUpDoesNothingMore(t *testing.T) {
 	c := qt.New(t)
 	f := freshness.New(bound)
-	f.Heard(1000, 31, 7, "n1")
+	f.Observe(1000, 31, 7, "n1")
 	c.Assert(f.Next(1050, watching(30, 0)), qt.Equals, freshness.Nothing)
 	c.Assert(f.Next(1100, watching(31, 0)), qt.Equals, freshness.Nothing)
 	c.Assert(f.Next(1500, watching(31, 0)), qt.Equals, freshness.Nothing)
-	c.Assert(f.Next(1750, watching(31, 0)), qt.Equals, freshness.AskStore)
+	c.Assert(f.Next(1750, watching(31, 0)), qt.Equals, freshness.CheckStore)
 }
 
 // Only the first in rank asks while it can be heard.
@@ -64,12 +64,12 @@
 	first, second := freshness.New(bound), freshness.New(bound)
 	asked := [2]int{}
 	for now := clock.Millis(10_000); now < 20_000; now += 50 {
-		if first.Next(now, watching(5, 0)) == freshness.AskStore {
+		if first.Next(now, watching(5, 0)) == freshness.CheckStore {
 			asked[0]++
-			first.Heard(now, 5, 0, "")
-			second.Heard(now+1, 5, 0, "first")
+			first.Observe(now, 5, 0, "")
+			second.Observe(now+1, 5, 0, "first")
 		}
-		if second.Next(now, watching(5, 1)) == freshness.AskStore {
+		if second.Next(now, watching(5, 1)) == freshness.CheckStore {
 			asked[1]++
 		}
 	}
@@ -77,8 +77,8 @@
 	c.Assert(asked[1], qt.Equals, 0) // also at its own start, when it has read everything
 }
 
-func watching(revision int64, rank int) freshness.Known {
-	return freshness.Known{Revision: revision, Rank: rank, Watching: true}
+func watching(revision int64, rank int) freshness.LocalState {
+	return freshness.LocalState{Revision: revision, Rank: rank, Watching: true}
 }
 
 // An instance that does not watch asks as soon as it hears of something new,
@@ -87,19 +87,19 @@
 func TestFollowers(t *testing.T) {
 	tests := []struct {
 		name  string
-		known freshness.Known
+		known freshness.LocalState
 		want  freshness.Action
 	}{
-		{"behind", freshness.Known{Revision: 30, Digest: 7}, freshness.AskPeer},
-		{"believes otherwise", freshness.Known{Revision: 31, Digest: 8}, freshness.AskPeer},
-		{"the same", freshness.Known{Revision: 31, Digest: 7}, freshness.Nothing},
-		{"newer", freshness.Known{Revision: 32, Digest: 8}, freshness.Nothing},
-		{"watches, believes otherwise", freshness.Known{Revision: 31, Digest: 8, Watching: true}, freshness.Nothing},
+		{"behind", freshness.LocalState{Revision: 30, Digest: 7}, freshness.PullFromPeer},
+		{"believes otherwise", freshness.LocalState{Revision: 31, Digest: 8}, freshness.PullFromPeer},
+		{"the same", freshness.LocalState{Revision: 31, Digest: 7}, freshness.Nothing},
+		{"newer", freshness.LocalState{Revision: 32, Digest: 8}, freshness.Nothing},
+		{"watches, believes otherwise", freshness.LocalState{Revision: 31, Digest: 8, Watching: true}, freshness.Nothing},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			f := freshness.New(bound)
-			f.Heard(1000, 31, 7, "n1")
+			f.Observe(1000, 31, 7, "n1")
 			qt.Assert(t, f.Next(1050, test.known), qt.Equals, test.want)
 		})
 	}
@@ -110,12 +110,12 @@
 func TestSilentPeerIsGivenUp(t *testing.T) {
 	c := qt.New(t)
 	f := freshness.New(bound)
-	f.Heard(1000, 31, 7, "n1")
+	f.Observe(1000, 31, 7, "n1")
 	counts := map[freshness.Action]int{}
 	for now := clock.Millis(1000); now < 2000 && counts[freshness.ListStore] == 0; now += 50 {
-		counts[f.Next(now, freshness.Known{Revision: 30, Rank: 5})]++
+		counts[f.Next(now, freshness.LocalState{Revision: 30, Rank: 5})]++
 	}
-	c.Assert(counts[freshness.AskPeer], qt.Equals, 2)
+	c.Assert(counts[freshness.PullFromPeer], qt.Equals, 2)
 	c.Assert(counts[freshness.ListStore], qt.Equals, 1)
 }
 
@@ -130,13 +130,13 @@
 	for now := clock.Millis(1000); now < 6000; now += 50 {
 		if now%100 == 0 {
 			newest++
-			f.Heard(now, newest, 7, "n1")
+			f.Observe(now, newest, 7, "n1")
 		}
-		switch f.Next(now, freshness.Known{Revision: known, Rank: 5}) {
-		case freshness.AskPeer:
+		switch f.Next(now, freshness.LocalState{Revision: known, Rank: 5}) {
+		case freshness.PullFromPeer:
 			asked++
 			known = newest - 1 // the answer was overtaken by the next change
-		case freshness.ListStore, freshness.AskStore:
+		case freshness.ListStore, freshness.CheckStore:
 			t.Fatalf("the store was asked at %d", now)
 		case freshness.Nothing:
 		}
@@ -148,10 +148,10 @@
 func TestLastInRankAsksInTime(t *testing.T) {
 	c := qt.New(t)
 	f := freshness.New(bound)
-	f.Heard(1000, 31, 7, "n1")
+	f.Observe(1000, 31, 7, "n1")
 	asked := clock.Millis(0)
 	for now := clock.Millis(1000); now < 5000 && asked == 0; now += 50 {
-		if f.Next(now, freshness.Known{Revision: 31, Digest: 7, Rank: 20}) == freshness.AskStore {
+		if f.Next(now, freshness.LocalState{Revision: 31, Digest: 7, Rank: 20}) == freshness.CheckStore {
 			asked = now
 		}
 	}
@@ -167,12 +167,12 @@
 		all := make([]*freshness.Freshness, zone)
 		for n := range all {
 			all[n] = freshness.New(bound)
-			all[n].Heard(1000, 31, 7, "n1")
+			all[n].Observe(1000, 31, 7, "n1")
 		}
 		asked, told := 0, clock.Millis(0)
 		for now := clock.Millis(1000); now < 5000 && (told == 0 || now < told); now += tick {
 			for rank := 2; rank < zone; rank++ {
-				if all[rank].Next(now, freshness.Known{Revision: 31, Digest: 7, Rank: rank, Zone: zone}) != freshness.AskStore {
+				if all[rank].Next(now, freshness.LocalState{Revision: 31, Digest: 7, Rank: rank, ZoneSize: zone}) != freshness.CheckStore {
 					continue
 				}
 				asked++
@@ -193,11 +193,11 @@
 		t.Run(fmt.Sprint(test.endpoints), func(t *testing.T) {
 			c := qt.New(t)
 			f := freshness.New(bound)
-			k := freshness.Known{Revision: 30, Digest: 7, Endpoints: test.endpoints}
+			k := freshness.LocalState{Revision: 30, Digest: 7, Endpoints: test.endpoints}
 			const start = clock.Millis(100_000)
-			c.Assert(f.Whole(start, k, 30, 8), qt.IsTrue)
-			c.Assert(f.Whole(start.Add(test.pause)-1, k, 30, 8), qt.IsFalse)
-			c.Assert(f.Whole(start.Add(test.pause), k, 30, 8), qt.IsTrue)
+			c.Assert(f.NeedsFullView(start, k, 30, 8), qt.IsTrue)
+			c.Assert(f.NeedsFullView(start.Add(test.pause)-1, k, 30, 8), qt.IsFalse)
+			c.Assert(f.NeedsFullView(start.Add(test.pause), k, 30, 8), qt.IsTrue)
 		})
 	}
 }
@@ -222,7 +222,7 @@
 	}
 	f := freshness.New(bound)
 	for _, test := range tests {
-		got := f.Whole(test.now, freshness.Known{Revision: 30, Digest: 7}, test.revision, test.digest)
+		got := f.NeedsFullView(test.now, freshness.LocalState{Revision: 30, Digest: 7}, test.revision, test.digest)
 		qt.Check(t, got, qt.Equals, test.want, qt.Commentf(test.name))
 	}
 }
@@ -243,9 +243,9 @@
 			f := freshness.New(test.bound)
 			asked := 0
 			for now := clock.Millis(50); now <= 28_050; now += 50 {
-				if f.Next(now, watching(5, 0)) == freshness.AskStore {
+				if f.Next(now, watching(5, 0)) == freshness.CheckStore {
 					asked++
-					f.Heard(now, 5, 0, "")
+					f.Observe(now, 5, 0, "")
 				}
 			}
 			qt.Assert(t, asked, qt.Equals, test.asked)
--- a/internal/relay/configuration.go
+++ b/internal/relay/configuration.go
@@ -7,48 +7,52 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// askedAgain is after how long a configuration that was heard of is read once more, if it
-// has not come: the reading may have begun before it was written.
-const askedAgain = 500 * time.Millisecond
-
-// awaited is a configuration that was heard of and is to be read from the store.
-type awaited struct {
-	version int64
-	at      clock.Millis // when it was last asked for
+// configurationRetryDelay is how long to wait for an announced configuration before it is
+// read again: an earlier read may have started before the configuration was written.
+const configurationRetryDelay = 500 * time.Millisecond
+
+// pendingConfiguration is a configuration that a peer has announced and that is still to be
+// read from the store.
+type pendingConfiguration struct {
+	version     int64
+	requestedAt clock.Millis // when it was last requested
 }
 
-// version is that of the newest configuration that was heard of. The directory's revision
-// may be past it while it is still being read, so revisions do not tell who lacks it.
-func (r *Relay) version(v *directory.View) int64 {
+// newestVersion returns the version of the newest configuration known to exist. The
+// directory's revision may already be past that configuration while it is still being read,
+// so revisions do not show which instance lacks it.
+func (r *Relay) newestVersion(v *directory.View) int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return max(v.Version(), r.wanted.version)
+	return max(v.Version(), r.pending.version)
 }
 
-// large says whether the newest configuration is to be read from the store: it has too many
-// routes to be passed round, or is not here yet.
-func (r *Relay) large(v *directory.View) bool {
-	return v.Version() < r.version(v) || v.Table != nil && len(v.Table.Document().Routes) > routesMost
+// configurationFromStore reports whether the newest configuration has to be read from the
+// store: it has too many routes to be sent between peers, or this instance does not have it
+// yet.
+func (r *Relay) configurationFromStore(v *directory.View) bool {
+	return v.Version() < r.newestVersion(v) || v.Table != nil && len(v.Table.Document().Routes) > maxSharedRoutes
 }
 
-// askStore has a configuration read from the store, unless it is here or asked for.
-func (r *Relay) askStore(version int64) {
-	if version <= r.version(r.Directory.View()) {
+// requestConfiguration has a configuration read from the store, unless this instance has it
+// or has requested it already.
+func (r *Relay) requestConfiguration(version int64) {
+	if version <= r.newestVersion(r.Directory.View()) {
 		return
 	}
 	r.mu.Lock()
-	r.wanted = awaited{version: version, at: r.Now()}
+	r.pending = pendingConfiguration{version: version, requestedAt: r.Now()}
 	r.mu.Unlock()
 	r.Configure()
 }
 
-// askAgain repeats an ask that brought nothing.
-func (r *Relay) askAgain(now clock.Millis) {
+// retryConfiguration repeats a request that did not bring the configuration.
+func (r *Relay) retryConfiguration(now clock.Millis) {
 	own := r.Directory.View().Version()
 	r.mu.Lock()
-	due := own < r.wanted.version && now.Sub(r.wanted.at) >= askedAgain
+	due := own < r.pending.version && now.Sub(r.pending.requestedAt) >= configurationRetryDelay
 	if due {
-		r.wanted.at = now
+		r.pending.requestedAt = now
 	}
 	r.mu.Unlock()
 	if due {
--- a/internal/relay/hint.go
+++ b/internal/relay/hint.go
@@ -12,71 +12,76 @@
 )
 
 const (
-	// silentFor is how long an instance that has begun tells nobody.
-	silentFor = roster.JoinTime / 2
-	// deputyPart of the time within which a change must be in force is the delay of the
-	// second watcher: the first may gather changes for an eighth of it.
-	deputyPart = 0.2
+	// minAnnounceAge is how long after its start an instance sends no hints to its zone.
+	minAnnounceAge = roster.JoinTime / 2
+	// backupDelayFraction is the delay of the second watcher, as a fraction of the time
+	// within which a change must be in force. It exceeds the eighth of that time during
+	// which the first watcher may collect changes.
+	backupDelayFraction = 0.2
 )
 
-// Hint tells peers a revision that the store has and what the sender believes. Hints before
-// it have what has changed since the zone was last told: most need not ask.
+// Hint announces a revision of the store and a digest of the sender's view. The hints sent
+// before it carry the changes since the last announcement, so that most receivers need not
+// request anything.
 type Hint struct {
-	Revision int64  `cbor:"1,keyasint"`
-	Digest   uint64 `cbor:"2,keyasint"`
-	Since    int64  `cbor:"3,keyasint,omitempty"`
-	News     *Told  `cbor:"4,keyasint,omitempty"` // after Since
-	Version  int64  `cbor:"5,keyasint,omitempty"` // as in Told
-	AskStore bool   `cbor:"6,keyasint,omitempty"` // for a configuration of that version
+	Revision int64     `cbor:"1,keyasint"`
+	Digest   uint64    `cbor:"2,keyasint"`
+	Since    int64     `cbor:"3,keyasint,omitempty"`
+	Changes  *Response `cbor:"4,keyasint,omitempty"` // those after Since
+	Version  int64     `cbor:"5,keyasint,omitempty"` // as in Response
+	AskStore bool      `cbor:"6,keyasint,omitempty"` // for a configuration of that version
 }
 
-// Told passes on that there is news from the store. Those who watch it tell the zone: if
-// all did, as in a start of all, each would connect to each. The first watcher tells at
-// once. The second does so later, and leaves out what the first has told, so that each
-// change goes over the links of the zone once.
+// Told announces changes read from the store. Only the instances that watch the store
+// announce them: if all did, as when a whole fleet starts, every instance would connect to
+// every other. The first watcher announces at once. The second does so after a delay and
+// leaves out what the first has announced, so that each change crosses the zone's links
+// once.
 func (r *Relay) Told() {
 	switch {
-	case !r.speaks():
+	case !r.isAnnouncer():
 	case r.rank() == 0:
-		r.tellZone()
+		r.announceZone()
 	default:
-		r.tellAt.CompareAndSwap(0, int64(r.Now().Add(time.Duration(deputyPart*float64(r.Bound)))))
+		r.announceAt.CompareAndSwap(0, int64(r.Now().Add(time.Duration(backupDelayFraction*float64(r.Bound)))))
 	}
 }
 
-// tellDue tells the zone what the second watcher has put off.
-func (r *Relay) tellDue(now clock.Millis) {
-	if at := r.tellAt.Load(); at != 0 && now >= clock.Millis(at) {
-		r.tellAt.Store(0)
-		r.tellZone()
+// announceDue sends the announcement that the second watcher has delayed, once it is due.
+func (r *Relay) announceDue(now clock.Millis) {
+	if at := r.announceAt.Load(); at != 0 && now >= clock.Millis(at) {
+		r.announceAt.Store(0)
+		r.announceZone()
 	}
 }
 
-func (r *Relay) tellZone() { r.hint(r.Directory.View().Revision, r.members()) }
+func (r *Relay) announceZone() { r.sendHint(r.Directory.View().Revision, r.zoneMembers()) }
 
-// speaks says whether this instance is known to be one of those that tell the zone. A young
-// one does not know yet who else there is: where many start together, each of ten or
-// twenty would take itself for one of the first two, and connect to all others.
-func (r *Relay) speaks() bool {
-	place, known := r.Roster.Rank(r.Zone, roleCheck, r.Name)
-	return known && place < watchers && r.Now().Sub(r.began) >= silentFor
+// isAnnouncer reports whether this instance is known to be one of those that announce
+// changes to the zone. A recently started instance does not know all the others yet: where
+// many start together, each of ten or twenty would take itself for one of the first two and
+// connect to all others.
+func (r *Relay) isAnnouncer() bool {
+	place, known := r.Roster.Rank(r.Zone, roleWatch, r.Name)
+	return known && place < watchersPerZone && r.Now().Sub(r.startedAt) >= minAnnounceAge
 }
 
-// passOn tells what another zone knew: to the own zone, if this instance speaks for it,
-// else to those who do.
-func (r *Relay) passOn(revision int64) {
-	zone := r.members()
-	if !r.speaks() {
-		zone = zone[:min(len(zone), watchers)]
+// forward announces a revision learned from another zone: to the own zone if this instance
+// is an announcer, else to the zone's announcers.
+func (r *Relay) forward(revision int64) {
+	zone := r.zoneMembers()
+	if !r.isAnnouncer() {
+		zone = zone[:min(len(zone), watchersPerZone)]
 	}
-	r.hint(revision, zone)
+	r.sendHint(revision, zone)
 }
 
-// hint tells instances a revision and what is believed here.
-func (r *Relay) hint(revision int64, to []roster.Instance) {
+// sendHint sends instances a revision, this instance's view and the changes since the last
+// announcement.
+func (r *Relay) sendHint(revision int64, to []roster.Instance) {
 	v := r.Directory.View()
 	if v.Doubtful {
-		return // whoever has no doubts tells the zone
+		return // an instance whose view is certain makes the announcement
 	}
 	var addresses []netip.AddrPort
 	for _, f := range to {
@@ -85,61 +90,62 @@
 		}
 	}
 	list := []Hint{{Revision: revision, Digest: v.Digest}}
-	if len(to) > watchers {
-		list = append(r.news(v), list...)
+	if len(to) > watchersPerZone {
+		list = append(r.newChanges(v), list...)
 	}
-	version, large := r.version(v), r.large(v)
+	version, fromStore := r.newestVersion(v), r.configurationFromStore(v)
 	for _, h := range list {
-		h.Version, h.AskStore = version, large
-		unsent := peer.SendAll(r.Transport, addresses, topicHint, h)
-		r.Scope.Counter("relay_hint_failed").Inc(int64(unsent))
+		h.Version, h.AskStore = version, fromStore
+		failed := peer.SendAll(r.Transport, addresses, topicHint, h)
+		r.Scope.Counter("relay_hint_failed").Inc(int64(failed))
 	}
 }
 
-// news is what has changed since the zone was last told, in parts.
-func (r *Relay) news(v *directory.View) (list []Hint) {
+// newChanges returns hints with the changes since the last announcement to the zone, in
+// parts.
+func (r *Relay) newChanges(v *directory.View) (list []Hint) {
 	r.mu.Lock()
-	since := r.told
-	r.told = max(r.told, v.Revision)
+	since := r.announced
+	r.announced = max(r.announced, v.Revision)
 	r.mu.Unlock()
-	if since == 0 || v.TableRev > since && !r.large(v) {
-		return nil // each asks for a new configuration, unless it is read from the store
+	if since == 0 || v.TableRev > since && !r.configurationFromStore(v) {
+		return nil // each instance requests a new configuration, unless it is read from the store
 	}
 	for more := since < v.Revision; more; {
-		t := r.tell(v, Question{Revision: since, Version: math.MaxInt64})
-		list = append(list, Hint{Revision: t.Revision, Digest: t.Digest, Since: since, News: &t})
-		since, more = t.Revision, t.More
+		resp := r.buildResponse(v, Request{Revision: since, Version: math.MaxInt64})
+		list = append(list, Hint{Revision: resp.Revision, Digest: resp.Digest, Since: since, Changes: &resp})
+		since, more = resp.Revision, resp.More
 	}
 	return list
 }
 
-// hear takes a hint.
-func (r *Relay) hear(from peer.Sender, h Hint) {
+// receiveHint handles a hint from a peer.
+func (r *Relay) receiveHint(from peer.Sender, h Hint) {
 	if h.AskStore {
-		r.askStore(h.Version)
+		r.requestConfiguration(h.Version)
 	}
-	if h.News != nil {
-		r.takeNews(from, h)
-		return // the last hint of several has none
+	if h.Changes != nil {
+		r.applyHintChanges(from, h)
+		return // the last hint of a series has no changes
 	}
-	place, known := r.Roster.Rank(r.Zone, roleCheck, from.Name)
+	place, known := r.Roster.Rank(r.Zone, roleWatch, from.Name)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Fresh.Heard(r.Now(), h.Revision, h.Digest, from.Name)
+	r.Fresh.Observe(r.Now(), h.Revision, h.Digest, from.Name)
 	if known && place == 0 {
-		r.told = max(r.told, h.Revision)
+		r.announced = max(r.announced, h.Revision)
 	}
 	r.ticker.Wake()
 }
 
-// takeNews takes what came with a hint, if it goes on from what is known here. News from
-// beyond a configuration that was not heard of is not taken: with its revision this
-// instance would have nothing left to ask for.
-func (r *Relay) takeNews(from peer.Sender, h Hint) {
+// applyHintChanges applies the changes of a hint if they follow directly on this instance's
+// view. Changes past an unknown configuration are ignored: once at their revision, this
+// instance would have nothing left to request and would miss that configuration.
+func (r *Relay) applyHintChanges(from peer.Sender, h Hint) {
 	v := r.Directory.View()
 	known := v.Revision
-	if known < h.Since || known >= h.News.Revision || known == 0 || h.News.Version > r.version(v) || r.seeding.Load() || r.Watching() {
+	if known < h.Since || known >= h.Changes.Revision || known == 0 || h.Changes.Version > r.newestVersion(v) || r.seeding.Load() || r.Watching() {
 		return
 	}
-	r.take(roster.Instance{Name: from.Name, Address: from.Address, Zone: r.Zone}, Question{Revision: known}, *h.News)
+	r.apply(roster.Instance{Name: from.Name, Address: from.Address, Zone: r.Zone}, Request{Revision: known}, *h.Changes)
 }
--- a/internal/relay/hint_test.go
+++ b/internal/relay/hint_test.go
@@ -20,20 +20,20 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// world is a relay before a store that has a configuration to read.
-type world struct {
+// relayTest is a relay with a store of which only the calls are counted.
+type relayTest struct {
 	*Relay
-	now   clock.Millis
-	reads int // of the configuration
-	lists int
-	after []int64 // revisions from which changes were asked for
-	slow  bool    // what changed is still to be read
+	now                clock.Millis
+	configurationReads int
+	listings           int
+	catchUps           []int64 // revisions after which changes were requested
+	catchingUp         bool    // the changes are still to be read
 }
 
-// member returns one of a zone's instances, not one that watches.
-func member(t *testing.T) *world {
+// newMember returns the relay of an instance that is not one of its zone's watchers.
+func newMember(t *testing.T) *relayTest {
 	t.Helper()
-	w := &world{now: 1000}
+	w := &relayTest{now: 1000}
 	now := func() clock.Millis { return w.now }
 	log := eventlog.Open(io.Discard, "n9")
 	t.Cleanup(func() { _ = log.Close() })
@@ -46,13 +46,13 @@
 		Directory: d, Roster: all, Now: now, Zone: "a", Log: log, Scope: tally.NoopScope, Fresh: freshness.New(2 * time.Second),
 		Tell:       func(e directory.Event) { d.Apply(w.now, e) },
 		Instances:  func([]roster.Instance, []roster.Departure, bool, int64) {},
-		Configure:  func() { w.reads++ },
-		List:       func() { w.lists++ },
-		CatchUp:    func() { w.after = append(w.after, d.View().Revision) },
-		CatchingUp: func() bool { return w.slow },
+		Configure:  func() { w.configurationReads++ },
+		List:       func() { w.listings++ },
+		CatchUp:    func() { w.catchUps = append(w.catchUps, d.View().Revision) },
+		CatchingUp: func() bool { return w.catchingUp },
 		Head:       func(context.Context) (int64, error) { return 99, nil },
 	})
-	for _, i := range all.Ranked("a", roleCheck) {
+	for _, i := range all.Ranked("a", roleWatch) {
 		w.Name = i.Name // the last in rank
 	}
 	d.Apply(0, configured(t, 1, 5))
@@ -67,141 +67,144 @@
 	return directory.Configured{Table: table, Revision: revision}
 }
 
-// news is a hint that takes its receiver from revision 10 to 12.
-func news(version int64, askStore bool) Hint {
+// changesHint returns a hint with the changes from revision 10 to 12.
+func changesHint(version int64, askStore bool) Hint {
 	e := directory.Endpoint{ID: "e2", Service: "llm", Zone: "a", Revision: 12}
 	return Hint{
 		Revision: 12, Since: 10, Version: version, AskStore: askStore,
-		News: &Told{Revision: 12, Version: version, Endpoints: []directory.Endpoint{e}},
+		Changes: &Response{Revision: 12, Version: version, Endpoints: []directory.Endpoint{e}},
 	}
 }
 
-// What is pushed takes nobody past a configuration of which he has not heard: he would
-// not ask for it any more. One of 100 instances refused a route for four seconds so.
-func TestNewsDoesNotHideAConfiguration(t *testing.T) {
+// A hint with changes must not take an instance past a configuration that it does not know
+// of: it would never request that configuration. One of 100 instances refused a route for
+// four seconds because of this.
+func TestChangesDoNotSkipConfiguration(t *testing.T) {
 	c := qt.New(t)
-	w := member(t)
+	w := newMember(t)
 	from := peer.Sender{Name: "n1"}
 
-	w.hear(from, news(2, false))
+	w.receiveHint(from, changesHint(2, false))
 	c.Check(w.Directory.View().Revision, qt.Equals, int64(10))
-	w.hear(from, Hint{Revision: 12, Digest: 1, Version: 2})
-	c.Check(w.Fresh.Next(w.now, freshness.Known{Revision: 10, Rank: 8, Zone: 9}), qt.Equals, freshness.AskPeer)
+	w.receiveHint(from, Hint{Revision: 12, Digest: 1, Version: 2})
+	c.Check(w.Fresh.Next(w.now, freshness.LocalState{Revision: 10, Rank: 8, ZoneSize: 9}), qt.Equals, freshness.PullFromPeer)
 
-	w.hear(from, news(2, true)) // it is large: each reads it, and need not ask first
-	c.Check(w.reads, qt.Equals, 1)
+	w.receiveHint(from, changesHint(2, true)) // the configuration is large: each instance reads it without a request to a peer
+	c.Check(w.configurationReads, qt.Equals, 1)
 	c.Check(w.Directory.View().Revision, qt.Equals, int64(12))
-	w.hear(from, Hint{Revision: 12, Digest: 1, Version: 2, AskStore: true})
-	c.Check(w.reads, qt.Equals, 1)
+	w.receiveHint(from, Hint{Revision: 12, Digest: 1, Version: 2, AskStore: true})
+	c.Check(w.configurationReads, qt.Equals, 1)
 }
 
-// What the first of those who watch has told the zone, the second does not tell again; he
-// goes on where the first has stopped.
-func TestChangesAreToldOnce(t *testing.T) {
+// The second watcher does not repeat what the first has announced to the zone, and
+// continues where the first stopped.
+func TestChangesAreAnnouncedOnce(t *testing.T) {
 	c := qt.New(t)
-	w := member(t)
-	first := peer.Sender{Name: w.Roster.Ranked("a", roleCheck)[0].Name}
+	w := newMember(t)
+	first := peer.Sender{Name: w.Roster.Ranked("a", roleWatch)[0].Name}
 	change := func(revision int64) *directory.View {
 		w.Tell(directory.Seen{Endpoint: directory.Endpoint{ID: fmt.Sprint("e", revision), Service: "llm", Zone: "a", Revision: revision}})
 		return w.Directory.View()
 	}
-	w.hear(first, Hint{Revision: 10, Digest: 1})
+	w.receiveHint(first, Hint{Revision: 10, Digest: 1})
 	v := change(12)
-	w.hear(first, Hint{Revision: 12, Digest: 1})
-	c.Check(w.news(v), qt.HasLen, 0)
-	told := w.news(change(14)) // of which the first has not told
-	c.Assert(told, qt.HasLen, 1)
-	c.Check(told[0].Since, qt.Equals, int64(12))
-	c.Check(told[0].News.Endpoints, qt.HasLen, 1)
-	w.hear(peer.Sender{Name: "n99"}, Hint{Revision: 16, Digest: 1}) // who is not the first
-	c.Check(w.news(change(16)), qt.HasLen, 1)
+	w.receiveHint(first, Hint{Revision: 12, Digest: 1})
+	c.Check(w.newChanges(v), qt.HasLen, 0)
+	hints := w.newChanges(change(14)) // not announced by the first watcher
+	c.Assert(hints, qt.HasLen, 1)
+	c.Check(hints[0].Since, qt.Equals, int64(12))
+	c.Check(hints[0].Changes.Endpoints, qt.HasLen, 1)
+	w.receiveHint(peer.Sender{Name: "n99"}, Hint{Revision: 16, Digest: 1}) // not the first watcher
+	c.Check(w.newChanges(change(16)), qt.HasLen, 1)
 }
 
-// Who waits for a configuration from the store is past its revision already. Others that
-// ask him hear of it all the same, and he asks the store again if it does not come.
-func TestAwaitedConfigurationIsPassedOn(t *testing.T) {
+// An instance that waits for a configuration from the store may be past that
+// configuration's revision. It must still name it to peers, and read the store again if the
+// configuration does not come.
+func TestPendingConfigurationIsAnnounced(t *testing.T) {
 	c := qt.New(t)
-	w := member(t)
-	w.hear(peer.Sender{Name: "n1"}, news(2, true))
-	told := w.tell(w.Directory.View(), Question{Version: 1, Revision: 10})
-	c.Check(told.AskStore, qt.IsTrue)
-	c.Check(told.Version, qt.Equals, int64(2))
-
-	w.askAgain(w.now + 400)
-	c.Check(w.reads, qt.Equals, 1)
-	w.askAgain(w.now + 500)
-	c.Check(w.reads, qt.Equals, 2)
+	w := newMember(t)
+	w.receiveHint(peer.Sender{Name: "n1"}, changesHint(2, true))
+	resp := w.buildResponse(w.Directory.View(), Request{Version: 1, Revision: 10})
+	c.Check(resp.AskStore, qt.IsTrue)
+	c.Check(resp.Version, qt.Equals, int64(2))
+
+	w.retryConfiguration(w.now + 400)
+	c.Check(w.configurationReads, qt.Equals, 1)
+	w.retryConfiguration(w.now + 500)
+	c.Check(w.configurationReads, qt.Equals, 2)
 	w.Tell(configured(t, 2, 11))
-	w.askAgain(w.now + 2000)
-	c.Check(w.reads, qt.Equals, 2)
-	told = w.tell(w.Directory.View(), Question{Version: 1, Revision: 10})
-	c.Check(told.AskStore, qt.IsFalse)
-	c.Assert(told.Document, qt.IsNotNil)
-	c.Check(told.Document.Version, qt.Equals, int64(2))
+	w.retryConfiguration(w.now + 2000)
+	c.Check(w.configurationReads, qt.Equals, 2)
+	resp = w.buildResponse(w.Directory.View(), Request{Version: 1, Revision: 10})
+	c.Check(resp.AskStore, qt.IsFalse)
+	c.Assert(resp.Document, qt.IsNotNil)
+	c.Check(resp.Document.Version, qt.Equals, int64(2))
 }
 
-// lag lets time pass in which the store is known to have more.
-func (w *world) lag(ctx context.Context, length time.Duration) {
+// lag advances the time while the store is known to be ahead.
+func (w *relayTest) lag(ctx context.Context, length time.Duration) {
 	for end := w.now.Add(length); w.now < end; w.now += 50 {
-		w.Fresh.Heard(w.now, 99, 0, "")
+		w.Fresh.Observe(w.now, 99, 0, "")
 		w.step(ctx)
 	}
 }
 
-// Who hears from the store that he lacks something asks it for the changes, which in a large
-// fleet are few, and for everything only if that brought nothing.
-func TestChangesAreReadBeforeEverything(t *testing.T) {
+// An instance that is behind the store reads the changes, which are few in a large fleet,
+// and reads everything only if that brought nothing.
+func TestChangesAreReadBeforeListing(t *testing.T) {
 	c := qt.New(t)
-	w := member(t)
+	w := newMember(t)
 	w.lag(t.Context(), 200*time.Millisecond)
-	c.Check(w.after, qt.DeepEquals, []int64{10})
-	c.Check(w.lists, qt.Equals, 0)
+	c.Check(w.catchUps, qt.DeepEquals, []int64{10})
+	c.Check(w.listings, qt.Equals, 0)
 	w.Tell(directory.StoreReached{Revision: 20})
 	w.lag(t.Context(), 200*time.Millisecond)
-	c.Check(w.after, qt.DeepEquals, []int64{10, 20})
-	c.Check(w.lists, qt.Equals, 0)
+	c.Check(w.catchUps, qt.DeepEquals, []int64{10, 20})
+	c.Check(w.listings, qt.Equals, 0)
 	w.lag(t.Context(), 500*time.Millisecond)
-	c.Check(w.lists > 0, qt.IsTrue)
+	c.Check(w.listings > 0, qt.IsTrue)
 }
 
-// A call that takes its time, as where all start together, does not show that changes lack
-// something: everything is read only once they have come.
-func TestChangesAreAwaitedBeforeEverything(t *testing.T) {
+// A call that takes long, as when a whole fleet starts, does not show that the changes lack
+// something: everything is read only after the changes have come.
+func TestChangesAreAwaitedBeforeListing(t *testing.T) {
 	c := qt.New(t)
-	w := member(t)
-	w.slow = true
+	w := newMember(t)
+	w.catchingUp = true
 	w.lag(t.Context(), 4*time.Second)
-	c.Check(w.after, qt.DeepEquals, []int64{10})
-	c.Check(w.lists, qt.Equals, 0)
-	w.slow = false
+	c.Check(w.catchUps, qt.DeepEquals, []int64{10})
+	c.Check(w.listings, qt.Equals, 0)
+	w.catchingUp = false
 	w.lag(t.Context(), 500*time.Millisecond)
-	c.Check(w.lists > 0, qt.IsTrue)
+	c.Check(w.listings > 0, qt.IsTrue)
 }
 
-// What those who watch hear while they are young is told to the zone once they know that
-// they are the ones to do so, though nothing else happens; others tell nobody.
+// What watchers learn shortly after their start is announced to the zone once they know
+// that they are its watchers, even if nothing else happens. Other instances announce
+// nothing.
 func TestNewsOfYoungInstancesIsTold(t *testing.T) {
 	for rank := range 3 {
 		c := qt.New(t)
-		w := member(t)
+		w := newMember(t)
 		own, err := peer.NewIdentity("own")
 		c.Assert(err, qt.IsNil)
 		w.Transport, err = peer.Listen("own", netip.MustParseAddrPort("127.0.0.1:0"), peer.Pinned(own, func(string) (string, bool) { return "", false }), tally.NoopScope)
 		c.Assert(err, qt.IsNil)
 		t.Cleanup(func() { _ = w.Transport.Close() })
-		w.Name = w.Roster.Ranked("a", roleCheck)[rank].Name
-		w.told = 9
+		w.Name = w.Roster.Ranked("a", roleWatch)[rank].Name
+		w.announced = 9
 		w.Told()
-		w.tellDue(w.now)
-		c.Check(w.told, qt.Equals, int64(9)) // it does not know yet who else there is
-		w.tellDue(w.now.Add(silentFor))
-		c.Check(w.told, qt.Equals, int64(9)) // nor here, where many start together
+		w.announceDue(w.now)
+		c.Check(w.announced, qt.Equals, int64(9)) // the other instances are not known yet
+		w.announceDue(w.now.Add(minAnnounceAge))
+		c.Check(w.announced, qt.Equals, int64(9)) // still too early when many instances start together
 		w.now = w.now.Add(roster.JoinTime)
-		w.tellDue(w.now)
+		w.announceDue(w.now)
 		want := int64(9)
-		if rank < watchers {
+		if rank < watchersPerZone {
 			want = 10
 		}
-		c.Check(w.told, qt.Equals, want, qt.Commentf("rank %d", rank))
+		c.Check(w.announced, qt.Equals, want, qt.Commentf("rank %d", rank))
 	}
 }
--- a/internal/relay/pull.go
+++ b/internal/relay/pull.go
@@ -16,111 +16,116 @@
 )
 
 const (
-	// pullEvery is how often a cut-off instance asks one peer. Changes must be
-	// in force within 2 s, and some peers may be cut off as well.
-	pullEvery = 250 * time.Millisecond
-	// pullWait bounds one question while the store answers as well.
-	pullWait = 200 * time.Millisecond
-	// cutWait bounds a question of an instance that has nobody but its peers.
-	// A configuration of 1,300 routes takes 0.2 s to come over 10 Mbit/s, more
-	// beside other traffic.
-	cutWait = 1500 * time.Millisecond
-	// cutPulls is how many such questions may wait at a time, since some of the
-	// peers may be cut off as well.
-	cutPulls = 4
+	// pullInterval is how often an instance disconnected from the store pulls from one
+	// peer. Changes must be in force within 2 s, and some peers may be disconnected as
+	// well.
+	pullInterval = 250 * time.Millisecond
+	// pullTimeout bounds one request while the store answers too.
+	pullTimeout = 200 * time.Millisecond
+	// disconnectedPullTimeout bounds one request of an instance that can reach only its
+	// peers. A configuration of 1,300 routes takes 0.2 s over 10 Mbit/s, more beside other
+	// traffic.
+	disconnectedPullTimeout = 1500 * time.Millisecond
+	// maxDisconnectedPulls is how many such requests may be in flight, since some of the
+	// peers may be disconnected as well.
+	maxDisconnectedPulls = 4
 )
 
-// pull asks the peer called name, or any, and waits for its answer.
-func (r *Relay) pull(ctx context.Context, name string, wait time.Duration) {
-	other, ok := r.pick(name)
+// pull requests what this instance lacks from the peer called name, or from any if name is
+// empty, and waits for the response.
+func (r *Relay) pull(ctx context.Context, name string, timeout time.Duration) {
+	other, ok := r.pickPeer(name)
 	if !ok {
 		return
 	}
 	v := r.Directory.View()
-	q := Question{Version: v.Version(), Revision: v.Revision, Digest: v.Digest, Cut: r.IsLost()}
-	told, ok := r.ask(ctx, other, q, wait)
+	req := Request{Version: v.Version(), Revision: v.Revision, Digest: v.Digest, Disconnected: r.IsLost()}
+	resp, ok := r.request(ctx, other, req, timeout)
 	if !ok && name == "" {
-		r.turn.Add(1)
+		r.rotation.Add(1)
 	}
-	if !ok || told.Whole || told.Revision == 0 || told.Digest == 0 {
+	if !ok || resp.Whole || resp.Revision == 0 || resp.Digest == 0 {
 		return
 	}
 	v = r.Directory.View()
 	r.mu.Lock()
-	known := freshness.Known{Revision: v.Revision, Digest: v.Digest, Endpoints: v.Size()}
-	whole := r.Fresh.Whole(r.Now(), known, told.Revision, told.Digest)
+	known := freshness.LocalState{Revision: v.Revision, Digest: v.Digest, Endpoints: v.Size()}
+	full := r.Fresh.NeedsFullView(r.Now(), known, resp.Revision, resp.Digest)
 	r.mu.Unlock()
-	if whole {
+	if full {
 		r.Scope.Counter("relay_whole_views").Inc(1)
-		r.ask(ctx, other, Question{Version: q.Version, Cut: q.Cut, Whole: true}, wait)
+		r.request(ctx, other, Request{Version: req.Version, Disconnected: req.Disconnected, Whole: true}, timeout)
 	}
 }
 
-// ask asks a peer and takes what it tells.
-func (r *Relay) ask(ctx context.Context, other roster.Instance, q Question, wait time.Duration) (Told, bool) {
-	ctx, cancel := context.WithTimeout(ctx, wait)
+// request sends one request to a peer and applies its response.
+func (r *Relay) request(ctx context.Context, other roster.Instance, req Request, timeout time.Duration) (Response, bool) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	told, err := peer.Ask[Question, Told](ctx, r.Transport, other.Address, topic, q)
+	resp, err := peer.Ask[Request, Response](ctx, r.Transport, other.Address, topic, req)
 	if err != nil {
 		r.Scope.Counter("relay_unanswered").Inc(1)
-		return told, false
+		return resp, false
 	}
-	r.take(other, q, told)
-	return told, true
+	r.apply(other, req, resp)
+	return resp, true
 }
 
-// takeTable takes a configuration that is newer than the own one, if one was told.
-func (r *Relay) takeTable(other roster.Instance, t Told) {
-	if t.Document != nil {
-		table, err := route.NewTable(*t.Document)
+// applyTable applies the configuration of a response if it has one, or requests it from the
+// store.
+func (r *Relay) applyTable(other roster.Instance, resp Response) {
+	if resp.Document != nil {
+		table, err := route.NewTable(*resp.Document)
 		if err != nil {
 			r.Log.Write(eventlog.Line{Event: eventlog.Unreadable, Address: other.Address.String(), Detail: err.Error()})
 		} else {
-			r.Tell(directory.Configured{Table: table, Revision: t.TableRev})
+			r.Tell(directory.Configured{Table: table, Revision: resp.TableRevision})
 		}
 	}
-	if t.AskStore {
-		r.askStore(t.Version)
+	if resp.AskStore {
+		r.requestConfiguration(resp.Version)
 	}
 }
 
-func (r *Relay) take(other roster.Instance, q Question, t Told) {
-	if t.Later {
+// apply applies a peer's response to a request.
+func (r *Relay) apply(other roster.Instance, req Request, resp Response) {
+	if resp.Busy {
 		r.mu.Lock()
-		r.Fresh.PutOff()
+		r.Fresh.PeerBusy()
 		r.mu.Unlock()
 		return
 	}
-	r.takeTable(other, t)
-	if t.Revision < q.Revision || t.Revision == q.Revision && !t.Whole {
+	r.applyTable(other, resp)
+	if resp.Revision < req.Revision || resp.Revision == req.Revision && !resp.Whole {
 		return
 	}
-	r.Instances(t.Instances, t.Left, t.Whole, t.Revision) // first, as in the feed
-	r.Tell(directory.Relayed{Whole: t.Whole, Endpoints: t.Endpoints, Gone: t.Gone, Evacuations: t.Evacuations, Revision: t.Revision})
-	if t.Revision == q.Revision {
-		return // other beliefs at the same revision; what they changed has lines of its own
+	r.Instances(resp.Instances, resp.Left, resp.Whole, resp.Revision) // first, as in the feed
+	r.Tell(directory.Relayed{Whole: resp.Whole, Endpoints: resp.Endpoints, Gone: resp.Gone, Evacuations: resp.Evacuations, Revision: resp.Revision})
+	if resp.Revision == req.Revision {
+		return // the views differed at the same revision; their differences are logged one by one
 	}
-	r.Log.Write(eventlog.Line{Event: eventlog.PeerTold, Address: other.Address.String(), Revision: t.Revision})
-	if other.Zone != r.Zone || r.speaks() {
-		r.passOn(t.Revision) // the own zone may have no other way to learn
+	r.Log.Write(eventlog.Line{Event: eventlog.PeerTold, Address: other.Address.String(), Revision: resp.Revision})
+	if other.Zone != r.Zone || r.isAnnouncer() {
+		r.forward(resp.Revision) // the own zone may have no other source
 	}
 }
 
-// acquaintances is how many peers an instance asks that is cut off from the store. Each is
-// asked by about as many; with all of a large fleet it would soon be connected to all.
-const acquaintances = 8
+// pullPeerCount is how many peers an instance that is disconnected from the store pulls from.
+// Each peer serves about as many; pulling from all of a large fleet would soon connect it
+// to all.
+const pullPeerCount = 8
 
-// pick returns the peer called name or, without a name, one of the acquaintances.
-func (r *Relay) pick(name string) (roster.Instance, bool) {
+// pickPeer returns the peer called name or, if name is empty, one of its pull peers.
+func (r *Relay) pickPeer(name string) (roster.Instance, bool) {
 	if name != "" {
 		return r.Roster.Find(name)
 	}
-	return acquaintance(r.Roster.All(), r.Name, rand.IntN(acquaintances), int(r.turn.Load()))
+	return pullPeer(r.Roster.All(), r.Name, rand.IntN(pullPeerCount), int(r.rotation.Load()))
 }
 
-// acquaintance returns one of the acquaintances of an instance. They are spread over the
-// list, which is in the order of names and so mostly of zones. Each turn has others.
-func acquaintance(all []roster.Instance, own string, number, turn int) (roster.Instance, bool) {
+// pullPeer returns one of an instance's pull peers. They are spread over the list, which is
+// ordered by name and so mostly by zone. Each value of turn selects others.
+func pullPeer(all []roster.Instance, own string, number, turn int) (roster.Instance, bool) {
 	at, known := slices.BinarySearchFunc(all, own, func(i roster.Instance, name string) int { return cmp.Compare(i.Name, name) })
 	others := len(all)
 	if known {
@@ -130,5 +135,5 @@
 	if others == 0 {
 		return roster.Instance{}, false
 	}
-	return all[(at+(number*others/acquaintances+turn)%others)%len(all)], true
+	return all[(at+(number*others/pullPeerCount+turn)%others)%len(all)], true
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,7 +1,7 @@
-// Package relay lets instances learn from their peers what the store says
-// when the store does not tell them itself: they remain bound by configuration
-// and by leaving endpoints. While the store answers everyone, only its revision
-// is passed round within a zone.
+// Package relay lets instances learn from their peers what is in the store while the store
+// does not tell them itself: they must still apply configurations and stop using endpoints
+// that leave. While the store answers every instance, only its revision and recent changes
+// are sent within a zone.
 package relay
 
 import (
@@ -28,81 +28,85 @@
 	topicHint = "relay.hint"
 )
 
-// roleCheck is the role of watching the store for a zone.
-const roleCheck = "check"
+// roleWatch is the role of watching the store for a zone.
+const roleWatch = "check"
 
 const (
-	// tickBusy and tickIdle are how often it is decided what to do, while something is
-	// lacking and while nothing is.
-	tickBusy = 50 * time.Millisecond
-	tickIdle = 200 * time.Millisecond
-	// watchers is how many instances of a zone watch the store. Each watch is
-	// answered once for each change, so that calls would grow with the square
-	// of the fleet if all watched.
-	watchers = 2
-	// routesMost is the largest configuration that peers pass round. A larger
-	// one is read from the store, whose link carries more than a small
+	// busyInterval and idleInterval are how often the next action is decided: while
+	// something is missing, and while nothing is.
+	busyInterval = 50 * time.Millisecond
+	idleInterval = 200 * time.Millisecond
+	// watchersPerZone is how many instances of a zone watch the store. Each watch is
+	// answered once for each change, so calls would grow with the square of the fleet if
+	// all watched.
+	watchersPerZone = 2
+	// maxSharedRoutes is the number of routes of the largest configuration that peers send
+	// each other. A larger one is read from the store, whose link is faster than a small
 	// instance's 10 Mbit/s, unless the store does not answer.
-	routesMost = 100
-	// tellMost is how many endpoints one answer tells, some 100 bytes each: a link of
-	// 20 Mbit/s carries it in 50 ms. Who lacks more asks on.
-	tellMost = 1000
+	maxSharedRoutes = 100
+	// maxResponseEndpoints is how many endpoints one response holds, some 100 bytes each: a
+	// link of 20 Mbit/s carries them in 50 ms. An instance that lacks more sends further
+	// requests.
+	maxResponseEndpoints = 1000
 )
 
-// Question tells what the asker has.
-type Question struct {
-	Version  int64  `cbor:"1,keyasint"` // of the configuration
-	Revision int64  `cbor:"2,keyasint"` // of the view of endpoints
-	Digest   uint64 `cbor:"3,keyasint"` // of that view
-	Cut      bool   `cbor:"4,keyasint"` // the store does not answer the asker
-	// Seeding says that the asker has just begun and wants all that there is.
+// Request says what the requesting instance has.
+type Request struct {
+	Version      int64  `cbor:"1,keyasint"` // of the configuration
+	Revision     int64  `cbor:"2,keyasint"` // of the view of endpoints
+	Digest       uint64 `cbor:"3,keyasint"` // of that view
+	Disconnected bool   `cbor:"4,keyasint"` // the store does not answer the requesting instance
+	// Seeding is set by an instance that has just started and wants all endpoints.
 	Seeding bool `cbor:"5,keyasint,omitempty"`
-	// Whole asks for everything at once, as the asker has to find out what there is not.
+	// Whole requests the complete view at once, so that the requesting instance can find
+	// out which entries do not exist.
 	Whole bool `cbor:"6,keyasint,omitempty"`
 }
 
-// Told is what the asker lacks.
-type Told struct {
-	Document  *route.Document      `cbor:"1,keyasint,omitempty"`
-	TableRev  int64                `cbor:"2,keyasint"`
-	Whole     bool                 `cbor:"3,keyasint"` // the lists hold all that the other believes
-	Endpoints []directory.Endpoint `cbor:"4,keyasint,omitempty"`
-	Gone      []directory.Removed  `cbor:"5,keyasint,omitempty"`
-	Instances []roster.Instance    `cbor:"6,keyasint,omitempty"`
-	Left      []roster.Departure   `cbor:"7,keyasint,omitempty"`
-	Revision  int64                `cbor:"8,keyasint"`
-	AskStore  bool                 `cbor:"9,keyasint,omitempty"` // a newer configuration is not told here
-	Digest    uint64               `cbor:"10,keyasint"`          // of the other's beliefs at Revision
-	// Evacuations are the operators' orders on zones.
+// Response holds what the requesting instance lacks.
+type Response struct {
+	Document      *route.Document      `cbor:"1,keyasint,omitempty"`
+	TableRevision int64                `cbor:"2,keyasint"`
+	Whole         bool                 `cbor:"3,keyasint"` // the lists hold the sender's complete view
+	Endpoints     []directory.Endpoint `cbor:"4,keyasint,omitempty"`
+	Gone          []directory.Removed  `cbor:"5,keyasint,omitempty"`
+	Instances     []roster.Instance    `cbor:"6,keyasint,omitempty"`
+	Left          []roster.Departure   `cbor:"7,keyasint,omitempty"`
+	Revision      int64                `cbor:"8,keyasint"`
+	AskStore      bool                 `cbor:"9,keyasint,omitempty"` // a newer configuration is not included
+	Digest        uint64               `cbor:"10,keyasint"`          // of the sender's view at Revision
+	// Evacuations are the operators' orders to evacuate zones.
 	Evacuations []directory.Evacuation `cbor:"11,keyasint,omitempty"`
 	More        bool                   `cbor:"12,keyasint,omitempty"` // there is more after Revision
-	// Later says that an answer to an earlier question is still on its way.
-	Later bool `cbor:"14,keyasint,omitempty"`
-	// Others are instances that were told all lately, where who is asked cannot tell it now.
-	Others []string `cbor:"13,keyasint,omitempty"`
-	// Progress grows while who is asked reads everything or tells it to others.
+	// Busy says that the response to an earlier request is still being sent.
+	Busy bool `cbor:"14,keyasint,omitempty"`
+	// Seeders are instances that have recently received all endpoints from the sender,
+	// which cannot send them itself now.
+	Seeders []string `cbor:"13,keyasint,omitempty"`
+	// Progress grows while the sender reads all endpoints or sends them to others.
 	Progress int64 `cbor:"15,keyasint,omitempty"`
-	// Version is the newest configuration's that the other has heard of, if it has it or not.
+	// Version is that of the newest configuration the sender knows of, whether it has it or
+	// not.
 	Version int64 `cbor:"16,keyasint,omitempty"`
 }
 
-// Options are what a Relay works with.
+// Options configure a Relay.
 type Options struct {
 	Name      string
 	Transport *peer.Transport
 	Roster    *roster.Roster
 	Directory *directory.Directory
 	Zone      string
-	Capacity  float64 // of the own processor, in cores
+	Capacity  float64 // of this instance's processor, in cores
 	Tell      func(directory.Event)
-	// Instances takes what a peer knows of instances; whole says that it is
-	// all of them.
+	// Instances applies what a peer knows of instances; whole says that the lists are
+	// complete.
 	Instances func(seen []roster.Instance, left []roster.Departure, whole bool, revision int64)
 	// Roll reads the instances of the own zone from the store.
 	Roll func(context.Context) error
-	// Head asks the store for its revision; List has the feed read everything,
-	// CatchUp what changed, Configure the configuration only. CatchingUp says whether
-	// what changed is still to be read.
+	// Head reads the store's revision. List has the feed read everything, CatchUp the
+	// changes, Configure only the configuration. CatchingUp reports whether the changes are
+	// still to be read.
 	Head       func(context.Context) (int64, error)
 	List       func()
 	CatchUp    func()
@@ -111,175 +115,177 @@
 	Log        *eventlog.Log
 	Scope      tally.Scope
 	Now        func() clock.Millis
-	// Fresh decides when to ask; the relay guards it.
+	// Fresh decides when to request something; the relay's lock guards it.
 	Fresh *freshness.Freshness
 	// Bound is the time within which a change must be in force.
 	Bound time.Duration
 }
 
-// Relay asks and answers.
+// Relay exchanges the store's contents with peers.
 type Relay struct {
 	Options
-	began  clock.Millis
-	lost   atomic.Int64 // since when the store does not answer, in milliseconds; 0: it does
-	pulled clock.Millis
-	// caughtUp is from which revision on changes were last asked of the store.
-	caughtUp int64
-	cut      atomic.Int32 // questions of a cut-off instance that wait
-	turn     atomic.Int64 // of acquaintances; a silent one has all replaced
+	startedAt clock.Millis
+	lostAt    atomic.Int64 // since when the store does not answer, in milliseconds; 0: it answers
+	pulledAt  clock.Millis
+	// caughtUpFrom is the revision after which changes were last requested from the store.
+	caughtUpFrom  int64
+	pullsInFlight atomic.Int32 // pending requests made while disconnected from the store
+	rotation      atomic.Int64 // of pull peers; raised when one does not answer, so that all are replaced
 
-	seeding  atomic.Bool
-	progress atomic.Int64 // see Progressed
-	tellAt   atomic.Int64 // when the zone is to be told, in milliseconds; 0: nothing is put off
-	ticker   *ticker.Ticker
-	replies  replies
+	seeding    atomic.Bool
+	progress   atomic.Int64 // see Progressed
+	announceAt atomic.Int64 // when the delayed announcement is due, in milliseconds; 0: there is none
+	ticker     *ticker.Ticker
+	responses  responseCache
 
-	mu     sync.Mutex
-	wanted awaited
-	told   int64                   // up to which the zone was told, by this instance or the first
-	seeds  map[string]clock.Millis // who is being told of all endpoints here, by name
-	seeded []string                // who was, lately
+	mu             sync.Mutex
+	pending        pendingConfiguration
+	announced      int64                   // revision up to which the zone was notified, by this instance or the first watcher
+	activeSeeds    map[string]clock.Millis // instances being sent all endpoints, by name, with the time of their last request
+	recentlySeeded []string                // the last instances that were sent all endpoints
 }
 
-// New returns a relay that does not run yet.
+// New returns a relay that is not running yet.
 func New(o Options) *Relay {
-	return &Relay{Options: o, ticker: ticker.New(tickBusy, tickIdle), began: o.Now(), seeds: map[string]clock.Millis{}}
+	return &Relay{Options: o, ticker: ticker.New(busyInterval, idleInterval), startedAt: o.Now(), activeSeeds: map[string]clock.Millis{}}
 }
 
-// Lost says that the store does not answer this instance.
+// Lost records that the store does not answer this instance.
 func (r *Relay) Lost() {
-	r.lost.Store(int64(r.Now()))
+	r.lostAt.Store(int64(r.Now()))
 	r.ticker.Wake()
 }
 
-// Regained says that it answers again.
-func (r *Relay) Regained() { r.lost.Store(0) }
+// Regained records that the store answers again.
+func (r *Relay) Regained() { r.lostAt.Store(0) }
 
-// IsLost says whether the store does not answer this instance.
-func (r *Relay) IsLost() bool { return r.lost.Load() != 0 }
+// IsLost reports whether the store does not answer this instance.
+func (r *Relay) IsLost() bool { return r.lostAt.Load() != 0 }
 
-// LostFor is how long the store has not answered this instance; 0: it does.
+// LostFor returns how long the store has not answered this instance, or 0 if it answers.
 func (r *Relay) LostFor() time.Duration {
-	since := clock.Millis(r.lost.Load())
+	since := clock.Millis(r.lostAt.Load())
 	if since == 0 {
 		return 0
 	}
 	return r.Now().Sub(since)
 }
 
-// Register adds the handler of peers' questions.
+// Register adds the handlers of peers' requests and hints.
 func (r *Relay) Register(router *message.Router) {
-	peer.AnswerEncoded(router, r.Transport, topic, func(_ context.Context, s peer.Sender, q Question) (peer.Encoded, error) {
+	peer.AnswerEncoded(router, r.Transport, topic, func(_ context.Context, s peer.Sender, req Request) (peer.Encoded, error) {
 		if r.Transport.Busy(s.Address) {
-			// It asks again before it has the last answer: more would only fill its link.
+			// The peer repeats its request before it has the last response; another one
+			// would only add load to its link.
 			r.Scope.Counter("relay_put_off").Inc(1)
-			return peer.Encode(Told{Later: true})
+			return peer.Encode(Response{Busy: true})
 		}
-		return r.answer(s.Name, q)
+		return r.respond(s.Name, req)
 	})
-	peer.Handle(router, r.Transport, topicHint, r.hear)
+	peer.Handle(router, r.Transport, topicHint, r.receiveHint)
 }
 
-// answer is what a peer gets that asks.
-func (r *Relay) answer(from string, q Question) (peer.Encoded, error) {
-	if q.Seeding && !r.maySeed(from) {
-		return peer.Encode(Told{Others: r.seededLately(), Progress: r.progress.Load()})
+// respond returns the encoded response to a peer's request.
+func (r *Relay) respond(from string, req Request) (peer.Encoded, error) {
+	if req.Seeding && !r.canSeed(from) {
+		return peer.Encode(Response{Seeders: r.recentSeeders(), Progress: r.progress.Load()})
 	}
 	v := r.Directory.View()
-	found, err := r.replies.find(v, r.version(v), q, r.tell)
+	cached, err := r.responses.get(v, r.newestVersion(v), req, r.buildResponse)
 	if err != nil {
 		return peer.Encoded{}, err
 	}
-	if q.Seeding {
-		r.Progressed(len(found.told.Endpoints))
-		if !found.told.More {
+	if req.Seeding {
+		r.Progressed(len(cached.response.Endpoints))
+		if !cached.response.More {
 			r.noteSeeded(from)
 		}
 	}
-	return found.encoded, nil
+	return cached.encoded, nil
 }
 
-// tell is what an asker lacks of what was known at a view, or is known since.
-func (r *Relay) tell(v *directory.View, q Question) Told {
-	t := Told{TableRev: v.TableRev, Revision: v.Revision, Version: r.version(v)}
+// buildResponse returns what the requesting instance lacks of the view v and of any changes
+// since.
+func (r *Relay) buildResponse(v *directory.View, req Request) Response {
+	resp := Response{TableRevision: v.TableRev, Revision: v.Revision, Version: r.newestVersion(v)}
 	switch {
-	case t.Version <= q.Version:
-	case !q.Cut && r.large(v):
-		t.AskStore = true
-	case v.Version() > q.Version:
+	case resp.Version <= req.Version:
+	case !req.Disconnected && r.configurationFromStore(v):
+		resp.AskStore = true
+	case v.Version() > req.Version:
 		d := v.Table.Document()
-		t.Document = &d
+		resp.Document = &d
 	}
-	since, most := q.Revision, tellMost
+	since, limit := req.Revision, maxResponseEndpoints
 	switch {
-	case q.Whole, v.Revision == q.Revision && v.Digest != q.Digest:
-		since, most = 0, 0 // there may be nothing new, but other beliefs: all of them are told
-	case v.Revision <= q.Revision:
-		return t
+	case req.Whole, v.Revision == req.Revision && v.Digest != req.Digest:
+		since, limit = 0, 0 // the views may differ at the same revision: send everything
+	case v.Revision <= req.Revision:
+		return resp
 	}
-	news := r.Directory.Since(since, most)
-	t.More = news.More
-	t.Whole, t.Endpoints, t.Gone, t.Evacuations = news.Whole, news.Endpoints, news.Gone, news.Evacuations
-	t.Revision, t.Digest = news.Revision, news.Digest
-	if !q.Seeding || since == 0 {
-		t.Instances, t.Left = r.Roster.Since(since)
+	changes := r.Directory.Since(since, limit)
+	resp.More = changes.More
+	resp.Whole, resp.Endpoints, resp.Gone, resp.Evacuations = changes.Whole, changes.Endpoints, changes.Gone, changes.Evacuations
+	resp.Revision, resp.Digest = changes.Revision, changes.Digest
+	if !req.Seeding || since == 0 {
+		resp.Instances, resp.Left = r.Roster.Since(since)
 	}
-	return t
+	return resp
 }
 
-// Run keeps this instance's knowledge fresh until ctx ends.
+// Run keeps this instance's view up to date until ctx ends.
 func (r *Relay) Run(ctx context.Context) {
 	r.ticker.Run(ctx, func() bool { return r.step(ctx) })
 }
 
-// step does what is due; it is busy while something is lacking.
+// step takes the actions that are due. It returns true while this instance is behind.
 func (r *Relay) step(ctx context.Context) (busy bool) {
 	if r.seeding.Load() {
 		return false
 	}
 	now := r.Now()
-	r.askAgain(now)
-	r.tellDue(now)
+	r.retryConfiguration(now)
+	r.announceDue(now)
 	if r.IsLost() {
-		if now.Sub(r.pulled) >= pullEvery && r.cut.Load() < cutPulls {
-			r.pulled = now
-			r.cut.Add(1)
+		if now.Sub(r.pulledAt) >= pullInterval && r.pullsInFlight.Load() < maxDisconnectedPulls {
+			r.pulledAt = now
+			r.pullsInFlight.Add(1)
 			go func() {
-				defer r.cut.Add(-1)
-				r.pull(ctx, "", cutWait)
+				defer r.pullsInFlight.Add(-1)
+				r.pull(ctx, "", disconnectedPullTimeout)
 			}()
 		}
 		return true
 	}
 	v, rank := r.Directory.View(), r.rank()
 	r.mu.Lock()
-	action := r.Fresh.Next(now, freshness.Known{
-		Revision: v.Revision, Digest: v.Digest, Rank: rank, Zone: r.ZoneSize(), Watching: rank < watchers,
+	action := r.Fresh.Next(now, freshness.LocalState{
+		Revision: v.Revision, Digest: v.Digest, Rank: rank, ZoneSize: r.ZoneSize(), Watching: rank < watchersPerZone,
 	})
 	source, behind := r.Fresh.Source(), r.Fresh.Behind()
 	r.mu.Unlock()
 	switch action {
-	case freshness.AskStore:
-		r.check(ctx)
+	case freshness.CheckStore:
+		r.checkStore(ctx)
 	case freshness.ListStore:
 		r.readStore(v.Revision)
-	case freshness.AskPeer:
-		r.pull(ctx, source, pullWait)
+	case freshness.PullFromPeer:
+		r.pull(ctx, source, pullTimeout)
 	case freshness.Nothing:
 	}
 	return behind
 }
 
-// readStore has the feed read what changed after a revision or, once that has brought
-// nothing, everything. In a start of all a call may wait for seconds; to read a large store
-// meanwhile would only add to what it waits for.
+// readStore has the feed read the changes after a revision or, if that has brought nothing,
+// everything. When a whole fleet starts, a call may take seconds; reading a large store
+// meanwhile would only add to the load that delays it.
 func (r *Relay) readStore(revision int64) {
 	if revision == 0 {
 		r.List()
 		return
 	}
-	if r.caughtUp != revision {
-		r.caughtUp = revision
+	if r.caughtUpFrom != revision {
+		r.caughtUpFrom = revision
 		r.CatchUp()
 		return
 	}
@@ -288,37 +294,35 @@
 	}
 }
 
-// members are the instances of the own zone, those who watch first.
-func (r *Relay) members() []roster.Instance { return r.Roster.Ranked(r.Zone, roleCheck) }
+// zoneMembers returns the instances of the own zone in the order of the watch role.
+func (r *Relay) zoneMembers() []roster.Instance { return r.Roster.Ranked(r.Zone, roleWatch) }
 
-// ZoneSize is how many instances the own zone has.
-func (r *Relay) ZoneSize() int { return len(r.members()) }
+// ZoneSize returns how many instances the own zone has.
+func (r *Relay) ZoneSize() int { return len(r.zoneMembers()) }
 
-// rank is this instance's place among those of its zone; the first while it is
-// not known itself.
+// rank returns this instance's rank in its zone, or 0 while the roster does not have it.
 func (r *Relay) rank() int {
-	place, _ := r.Roster.Rank(r.Zone, roleCheck, r.Name)
+	place, _ := r.Roster.Rank(r.Zone, roleWatch, r.Name)
 	return place
 }
 
-// check asks the store for its revision and passes it on.
-func (r *Relay) check(ctx context.Context) {
+// checkStore reads the store's revision and announces it to the zone.
+func (r *Relay) checkStore(ctx context.Context) {
 	revision, err := r.Head(ctx)
 	r.mu.Lock()
 	if err != nil {
-		r.Fresh.Failed(r.Now())
+		r.Fresh.CheckFailed(r.Now())
 	} else {
-		r.Fresh.Heard(r.Now(), revision, 0, "")
+		r.Fresh.Observe(r.Now(), revision, 0, "")
 	}
 	r.mu.Unlock()
 	if err != nil {
 		r.Scope.Counter("relay_check_failed").Inc(1)
-		r.pull(ctx, "", pullWait) // others may know more while the store does not answer
+		r.pull(ctx, "", pullTimeout) // peers may know more while the store does not answer
 		return
 	}
-	r.hint(revision, r.members()) // those who watch have been silent
+	r.sendHint(revision, r.zoneMembers()) // the watchers have sent nothing lately
 }
 
-// Watching says whether this instance is one of those of its zone that watch
-// the store.
-func (r *Relay) Watching() bool { return r.rank() < watchers }
+// Watching reports whether this instance is one of the watchers of its zone.
+func (r *Relay) Watching() bool { return r.rank() < watchersPerZone }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -12,10 +12,11 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// Who lacks something is told it in parts; who believes something else is told everything
-// at once, in any fleet, since what the other does not have can only be seen by its absence.
-func TestWholeViewsAreWhole(t *testing.T) {
-	for _, size := range []int{3, tellMost, 3 * tellMost} {
+// An instance that lacks something gets it in parts. One whose view differs gets the
+// complete view at once in a fleet of any size, since entries that do not exist show only
+// by their absence.
+func TestCompleteViews(t *testing.T) {
+	for _, size := range []int{3, maxResponseEndpoints, 3 * maxResponseEndpoints} {
 		c := qt.New(t)
 		d := directory.New()
 		var all []directory.Endpoint
@@ -24,21 +25,21 @@
 		}
 		d.Apply(0, directory.Listed{Endpoints: all, Revision: int64(size)})
 		r := New(Options{Directory: d, Roster: roster.New(func() clock.Millis { return 0 }), Now: func() clock.Millis { return 0 }})
-		for _, q := range []Question{{Whole: true}, {Revision: int64(size), Digest: 1}} {
-			told := r.tell(r.Directory.View(), q)
-			c.Check(told.Whole, qt.IsTrue)
-			c.Check(told.More, qt.IsFalse)
-			c.Check(told.Endpoints, qt.HasLen, size)
+		for _, req := range []Request{{Whole: true}, {Revision: int64(size), Digest: 1}} {
+			resp := r.buildResponse(r.Directory.View(), req)
+			c.Check(resp.Whole, qt.IsTrue)
+			c.Check(resp.More, qt.IsFalse)
+			c.Check(resp.Endpoints, qt.HasLen, size)
 		}
-		part := r.tell(r.Directory.View(), Question{})
-		c.Check(part.Whole, qt.Equals, size <= tellMost)
-		c.Check(part.Endpoints, qt.HasLen, min(size, tellMost))
+		part := r.buildResponse(r.Directory.View(), Request{})
+		c.Check(part.Whole, qt.Equals, size <= maxResponseEndpoints)
+		c.Check(part.Endpoints, qt.HasLen, min(size, maxResponseEndpoints))
 	}
 }
 
-// Of any fleet, an instance that is cut off from the store asks a few peers only, of all
-// zones, and is asked by about as many; where one is silent it finds others.
-func TestAcquaintances(t *testing.T) {
+// In a fleet of any size, an instance disconnected from the store pulls from a few peers of
+// all zones and serves about as many. If a peer does not answer, others are selected.
+func TestPullPeers(t *testing.T) {
 	for _, size := range []int{1, 2, 3, 9, 78, 985} {
 		c := qt.New(t)
 		var all []roster.Instance
@@ -48,38 +49,38 @@
 		asked := map[string]int{}
 		for _, own := range all {
 			peers, zones := map[string]bool{}, map[string]bool{}
-			for number := range acquaintances {
-				other, ok := acquaintance(all, own.Name, number, 0)
+			for number := range pullPeerCount {
+				other, ok := pullPeer(all, own.Name, number, 0)
 				c.Assert(ok, qt.Equals, size > 1)
 				c.Assert(ok && other.Name == own.Name, qt.IsFalse)
 				peers[other.Name], zones[other.Zone] = true, true
 			}
-			c.Assert(len(peers) <= acquaintances, qt.IsTrue)
+			c.Assert(len(peers) <= pullPeerCount, qt.IsTrue)
 			if size >= 78 {
 				c.Assert(zones, qt.HasLen, 5)
 			}
 			for name := range peers {
 				asked[name]++
 			}
-			if size > 2*acquaintances {
-				other, _ := acquaintance(all, own.Name, 0, 1)
+			if size > 2*pullPeerCount {
+				other, _ := pullPeer(all, own.Name, 0, 1)
 				c.Assert(peers[other.Name], qt.IsFalse)
 			}
 		}
 		for _, n := range asked {
-			c.Assert(n <= 2*acquaintances, qt.IsTrue, qt.Commentf("asked by %d of %d", n, size))
+			c.Assert(n <= 2*pullPeerCount, qt.IsTrue, qt.Commentf("asked by %d of %d", n, size))
 		}
-		if size > 1 { // also one that is in no roster yet
-			other, ok := acquaintance(all, "another", 3, 0)
+		if size > 1 { // also for an instance that is not in the roster yet
+			other, ok := pullPeer(all, "another", 3, 0)
 			c.Assert(ok, qt.IsTrue)
 			c.Assert(other.Name, qt.Not(qt.Equals), "")
 		}
 	}
 }
 
-// After a change most of a zone ask for the same: that is collected and encoded once. Who
-// asks something else, or once there is more to tell, is not told what others were.
-func TestSameQuestionsShareAReply(t *testing.T) {
+// After a change most of a zone sends the same request, and the response is built and
+// encoded once. Another request, or one after a further change, must not get that response.
+func TestSameRequestsShareResponse(t *testing.T) {
 	c := qt.New(t)
 	d := directory.New()
 	at := func(revision int64) directory.Endpoint {
@@ -89,32 +90,32 @@
 		d.Apply(0, directory.Seen{Endpoint: at(int64(n + 1))})
 	}
 	r := New(Options{Directory: d, Roster: roster.New(func() clock.Millis { return 0 }), Now: func() clock.Millis { return 0 }})
-	find := func(q Question) *reply {
-		found, err := r.replies.find(d.View(), r.version(d.View()), q, r.tell)
+	get := func(req Request) *cachedResponse {
+		cached, err := r.responses.get(d.View(), r.newestVersion(d.View()), req, r.buildResponse)
 		c.Assert(err, qt.IsNil)
-		return found
+		return cached
 	}
-	first := find(Question{Revision: 100})
-	c.Check(first.told.Endpoints, qt.HasLen, 400)
-	c.Check(find(Question{Revision: 100, Digest: 5}), qt.Equals, first)
-	c.Check(find(Question{Revision: 300}).told.Endpoints, qt.HasLen, 200)
-	c.Check(find(Question{Revision: 100}), qt.Equals, first)
-	c.Check(find(Question{Revision: 500, Digest: 5}).told.Whole, qt.IsTrue)
-	c.Check(find(Question{Revision: 500, Digest: d.View().Digest}).told.Whole, qt.IsFalse)
-	for n := range repliesMost {
-		find(Question{Revision: int64(n)})
+	first := get(Request{Revision: 100})
+	c.Check(first.response.Endpoints, qt.HasLen, 400)
+	c.Check(get(Request{Revision: 100, Digest: 5}), qt.Equals, first)
+	c.Check(get(Request{Revision: 300}).response.Endpoints, qt.HasLen, 200)
+	c.Check(get(Request{Revision: 100}), qt.Equals, first)
+	c.Check(get(Request{Revision: 500, Digest: 5}).response.Whole, qt.IsTrue)
+	c.Check(get(Request{Revision: 500, Digest: d.View().Digest}).response.Whole, qt.IsFalse)
+	for n := range maxCachedResponses {
+		get(Request{Revision: int64(n)})
 	}
-	c.Check(r.replies.list, qt.HasLen, repliesMost)
+	c.Check(r.responses.entries, qt.HasLen, maxCachedResponses)
 
 	d.Apply(0, directory.Seen{Endpoint: at(501)})
-	c.Check(find(Question{Revision: 100}).told.Endpoints, qt.HasLen, 401)
-	r.wanted.version = 7 // a configuration that is still to be read
-	c.Check(find(Question{Revision: 100}).told.Version, qt.Equals, int64(7))
+	c.Check(get(Request{Revision: 100}).response.Endpoints, qt.HasLen, 401)
+	r.pending.version = 7 // still to be read
+	c.Check(get(Request{Revision: 100}).response.Version, qt.Equals, int64(7))
 }
 
-// BenchmarkReplies answers the asks of a zone of 200 for the 500 endpoints that one
-// reading of the store brings.
-func BenchmarkReplies(b *testing.B) {
+// BenchmarkResponses serves a zone of 200 instances that each request the 500 endpoints of
+// one read of the store.
+func BenchmarkResponses(b *testing.B) {
 	d := directory.New()
 	for n := range 500 {
 		d.Apply(0, directory.Seen{Endpoint: directory.Endpoint{
@@ -124,9 +125,9 @@
 	}
 	r := New(Options{Directory: d, Roster: roster.New(func() clock.Millis { return 0 }), Now: func() clock.Millis { return 0 }})
 	for b.Loop() {
-		r.replies.list = nil
+		r.responses.entries = nil
 		for range 200 {
-			if _, err := r.answer("n1", Question{}); err != nil {
+			if _, err := r.respond("n1", Request{}); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/internal/relay/seed.go
+++ b/internal/relay/seed.go
@@ -15,167 +15,173 @@
 )
 
 const (
-	// seedPause is between two such asks in vain.
-	seedPause = 250 * time.Millisecond
-	// seedWait bounds one answer, which takes its time on a link that several share.
-	seedWait = 1500 * time.Millisecond
-	// seedsEach is how many instances are told of all endpoints at a time, for each
-	// seedShare of a core that the teller has: links are as strong as processors.
-	seedsEach = 4
-	seedShare = 0.2
-	// seededMost is how many of those that were told are named to others.
-	seededMost = 8
-	// seedOver is how long after an answer its asker is taken to be done.
-	seedOver = 600 * time.Millisecond
+	// seedRetryDelay is the pause after an attempt that did not complete.
+	seedRetryDelay = 250 * time.Millisecond
+	// seedTimeout bounds one response, which is slow on a link that several requests share.
+	seedTimeout = 1500 * time.Millisecond
+	// seedsPerShare is how many instances may receive all endpoints at a time, for each
+	// capacityShare of a core that the sender has: network capacity grows with the
+	// processor.
+	seedsPerShare = 4
+	capacityShare = 0.2
+	// maxRecentlySeeded is how many of the instances that have received all endpoints are
+	// named to others.
+	maxRecentlySeeded = 8
+	// seedExpiry is how long after its last request an instance counts as still seeding.
+	seedExpiry = 600 * time.Millisecond
 )
 
-// Seed learns of all endpoints from the own zone, where there are too many for each
-// instance to read them from the store: a fleet that starts, or one of whose instances
-// many lack something, would take minutes of the store's link. It returns false if this
-// instance is to read them itself: it watches for the zone, or nobody there got on within
-// the bound. Those who watch need longer for a larger fleet, so it waits while they get on.
+// Seed gets all endpoints from the own zone, where there are too many for each instance to
+// read them from the store: a starting fleet, or one of which many instances lack
+// something, would take minutes of the store's link. It returns false if this instance has
+// to read the store itself: it watches for the zone, or no instance it asked made progress
+// within the bound. The watchers need longer in a larger fleet, so Seed waits as long as
+// they make progress.
 func (r *Relay) Seed(ctx context.Context) bool {
 	r.seeding.Store(true)
 	defer r.seeding.Store(false)
-	began := r.Now()
-	s := seed{
-		Relay: r, advanced: began, progress: map[string]int64{},
+	start := r.Now()
+	s := seedRun{
+		Relay: r, advancedAt: start, progress: map[string]int64{},
 		present: map[string]bool{}, evacuations: map[string]directory.Evacuation{},
 	}
-	counted := false // those who started together are known
-	for first := true; ctx.Err() == nil && r.Now().Sub(s.advanced) < r.Bound; first = false {
-		together := r.Now().Sub(began) >= roster.JoinTime || r.Now().Sub(r.began) > 2*roster.JoinTime
-		if first || together && !counted {
+	zoneRead := false // the zone was read after the instances that started together had registered
+	for first := true; ctx.Err() == nil && r.Now().Sub(s.advancedAt) < r.Bound; first = false {
+		peersKnown := r.Now().Sub(start) >= roster.JoinTime || r.Now().Sub(r.startedAt) > 2*roster.JoinTime
+		if first || peersKnown && !zoneRead {
 			if err := r.Roll(ctx); err != nil {
 				return false
 			}
-			counted = together
+			zoneRead = peersKnown
 		}
-		if counted && r.speaks() {
+		if zoneRead && r.isAnnouncer() {
 			return false
 		}
-		if from, ok := s.seeder(); ok && s.ask(ctx, from) {
+		if from, ok := s.pickSeeder(); ok && s.requestAll(ctx, from) {
 			return true
 		}
-		ticker.Sleep(ctx, seedPause)
+		ticker.Sleep(ctx, seedRetryDelay)
 	}
 	return false
 }
 
-// seeder is an instance of the zone that may know all endpoints: one that watches or, if
-// those have named any, one that they have told. To ask others would connect each with
-// each while nobody knows anything.
-func (s *seed) seeder() (roster.Instance, bool) {
-	zone := s.members()
+// pickSeeder returns an instance of the zone that may have all endpoints: a watcher or, if
+// watchers have named any, an instance that got them from a watcher. To ask others would
+// connect every instance to every other while none has the endpoints.
+func (s *seedRun) pickSeeder() (roster.Instance, bool) {
+	zone := s.zoneMembers()
 	if len(zone) == 0 {
 		return roster.Instance{}, false
 	}
-	if n := rand.IntN(len(s.others) + 1); n < len(s.others) {
-		name := s.others[n]
-		s.others = slices.Delete(s.others, n, n+1) // they are asked by many; the next answer names more
+	if n := rand.IntN(len(s.seeders) + 1); n < len(s.seeders) {
+		name := s.seeders[n]
+		s.seeders = slices.Delete(s.seeders, n, n+1) // several instances are given the same names; the next response has others
 		if i, known := s.Roster.Find(name); known && i.Zone == s.Zone {
 			return i, name != s.Name
 		}
 	}
-	i := zone[rand.IntN(min(len(zone), watchers))]
+	i := zone[rand.IntN(min(len(zone), watchersPerZone))]
 	return i, i.Name != s.Name
 }
 
-// seed is what was told so far, by one instance or several: what they tell is in the order
-// of revisions, so another one goes on where the last one stopped.
-type seed struct {
+// seedRun holds what was received so far, from one instance or several. Responses are in
+// the order of revisions, so another instance can continue where the last one stopped.
+type seedRun struct {
 	*Relay
-	advanced    clock.Millis     // when something was told, or who was asked had got on
-	progress    map[string]int64 // of those who were asked, by name
+	advancedAt  clock.Millis     // when something was received, or a seeder had made progress
+	progress    map[string]int64 // of the instances asked, by name
 	revision    int64
-	others      []string        // who may know all
-	present     map[string]bool // entries
+	seeders     []string        // may have all endpoints
+	present     map[string]bool // by entry
 	evacuations map[string]directory.Evacuation
 }
 
-// ask asks an instance for all that is lacking. It returns true once that is everything.
-func (s *seed) ask(ctx context.Context, from roster.Instance) bool {
+// requestAll requests everything that is missing from one instance, page by page. It
+// returns true once nothing is missing.
+func (s *seedRun) requestAll(ctx context.Context, from roster.Instance) bool {
 	for ctx.Err() == nil {
-		q := Question{Version: s.Directory.View().Version(), Revision: s.revision, Seeding: true}
-		told, err := s.page(ctx, from, q)
-		if err == nil && len(told.Others) > 0 {
-			s.others = told.Others
+		req := Request{Version: s.Directory.View().Version(), Revision: s.revision, Seeding: true}
+		resp, err := s.requestPage(ctx, from, req)
+		if err == nil && len(resp.Seeders) > 0 {
+			s.seeders = resp.Seeders
 		}
-		if told.Progress > s.progress[from.Name] || told.Revision > s.revision {
-			s.progress[from.Name], s.advanced = told.Progress, s.Now()
+		if resp.Progress > s.progress[from.Name] || resp.Revision > s.revision {
+			s.progress[from.Name], s.advancedAt = resp.Progress, s.Now()
 		}
-		if err != nil || told.Revision <= s.revision {
+		if err != nil || resp.Revision <= s.revision {
 			return false
 		}
-		s.take(from, told)
-		if !told.More {
-			s.settle(from)
+		s.applyPage(from, resp)
+		if !resp.More {
+			s.finish(from)
 			return true
 		}
 	}
 	return false
 }
 
-func (s *seed) page(ctx context.Context, from roster.Instance, q Question) (Told, error) {
-	ctx, cancel := context.WithTimeout(ctx, seedWait)
+// requestPage requests the next page.
+func (s *seedRun) requestPage(ctx context.Context, from roster.Instance, req Request) (Response, error) {
+	ctx, cancel := context.WithTimeout(ctx, seedTimeout)
 	defer cancel()
-	return peer.Ask[Question, Told](ctx, s.Transport, from.Address, topic, q)
+	return peer.Ask[Request, Response](ctx, s.Transport, from.Address, topic, req)
 }
 
-func (s *seed) take(from roster.Instance, told Told) {
-	s.takeTable(from, told)
-	s.Instances(told.Instances, told.Left, false, told.Revision)
-	for _, e := range told.Endpoints {
+// applyPage applies one page and records which entries it has.
+func (s *seedRun) applyPage(from roster.Instance, resp Response) {
+	s.applyTable(from, resp)
+	s.Instances(resp.Instances, resp.Left, false, resp.Revision)
+	for _, e := range resp.Endpoints {
 		s.present[e.Entry] = true
 	}
-	for _, g := range told.Gone {
+	for _, g := range resp.Gone {
 		delete(s.present, g.Entry)
 	}
-	for _, z := range told.Evacuations {
+	for _, z := range resp.Evacuations {
 		s.evacuations[z.Zone] = z
 	}
-	s.revision = told.Revision
-	s.Tell(directory.Relayed{Endpoints: told.Endpoints, Gone: told.Gone, Evacuations: told.Evacuations, Revision: told.Revision})
+	s.revision = resp.Revision
+	s.Tell(directory.Relayed{Endpoints: resp.Endpoints, Gone: resp.Gone, Evacuations: resp.Evacuations, Revision: resp.Revision})
 }
 
-// settle drops what an old listing told of and nobody tells of any more.
-func (s *seed) settle(from roster.Instance) {
-	all := directory.Listed{Revision: s.revision}
+// finish removes endpoints that came from an older listing and that no page has.
+func (s *seedRun) finish(from roster.Instance) {
+	listing := directory.Listed{Revision: s.revision}
 	for entry := range s.present {
-		all.Present = append(all.Present, entry)
+		listing.Present = append(listing.Present, entry)
 	}
 	for _, z := range s.evacuations {
 		if !z.Over {
-			all.Evacuations = append(all.Evacuations, z)
+			listing.Evacuations = append(listing.Evacuations, z)
 		}
 	}
-	s.Tell(all)
+	s.Tell(listing)
 	s.Log.Write(eventlog.Line{
-		Event: eventlog.PeerTold, Outcome: "seeded", Address: from.Address.String(), Count: int64(len(all.Present)), Revision: s.revision,
+		Event: eventlog.PeerTold, Outcome: "seeded", Address: from.Address.String(), Count: int64(len(listing.Present)), Revision: s.revision,
 	})
 }
 
-// Progressed counts entries that were read from the store or told to an instance that had
-// just begun. While it grows, others that wait for this instance have reason to.
+// Progressed counts entries that were read from the store or sent to an instance that is
+// seeding. While the count grows, instances that wait for this one keep waiting.
 func (r *Relay) Progressed(entries int) { r.progress.Add(int64(entries)) }
 
-// noteSeeded notes that an instance was told of all endpoints.
+// noteSeeded records that an instance has received all endpoints.
 func (r *Relay) noteSeeded(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.seeded = append(r.seeded[max(0, len(r.seeded)-seededMost+1):], name)
+	r.recentlySeeded = append(r.recentlySeeded[max(0, len(r.recentlySeeded)-maxRecentlySeeded+1):], name)
 }
 
-// seededLately are instances that were told of all endpoints here.
-func (r *Relay) seededLately() []string {
+// recentSeeders returns the last instances that received all endpoints from this one.
+func (r *Relay) recentSeeders() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Clone(r.seeded)
+	return slices.Clone(r.recentlySeeded)
 }
 
-// maySeed says whether this instance can tell another one of all endpoints now: it knows
-// them without doubts, and not too many ask at a time.
-func (r *Relay) maySeed(name string) bool {
+// canSeed reports whether this instance can send all endpoints to another one now: its view
+// is certain, and not too many instances are seeding.
+func (r *Relay) canSeed(name string) bool {
 	v := r.Directory.View()
 	if r.seeding.Load() || v.Revision == 0 || v.Doubtful {
 		return false
@@ -183,15 +189,15 @@
 	now := r.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for other, at := range r.seeds {
-		if now.Sub(at) >= seedOver {
-			delete(r.seeds, other)
+	for other, at := range r.activeSeeds {
+		if now.Sub(at) >= seedExpiry {
+			delete(r.activeSeeds, other)
 		}
 	}
-	if _, asks := r.seeds[name]; !asks && len(r.seeds) >= max(int(seedsEach*r.Capacity/seedShare), seedsEach) {
+	if _, asks := r.activeSeeds[name]; !asks && len(r.activeSeeds) >= max(int(seedsPerShare*r.Capacity/capacityShare), seedsPerShare) {
 		r.Scope.Counter("relay_seeds_put_off").Inc(1)
 		return false
 	}
-	r.seeds[name] = now
+	r.activeSeeds[name] = now
 	return true
 }
