--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -1,6 +1,6 @@
-// Package feed follows the platform's store and tells the directory what it
-// says. It lists once, then waits for changes; it lists anew when the store has
-// forgotten the changes in between.
+// Package feed follows the platform's store and applies its contents to the directory. It
+// lists the store once, then waits for changes; it lists again when the store no longer has
+// the changes in between.
 package feed
 
 import (
@@ -21,22 +21,22 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// ErrHistoryLost says that the store no longer has the changes asked for.
+// ErrHistoryLost says that the store no longer has the requested changes.
 var ErrHistoryLost = errors.New("history is lost")
 
-// News is what the store told, up to Revision.
+// News is what the store returned, complete up to Revision.
 type News struct {
 	Events   []directory.Event
 	Problems []Problem
 	Revision int64
 
-	Instances     []roster.Instance // of our own
+	Instances     []roster.Instance // of this system
 	GoneInstances []roster.Departure
-	Complete      bool // Instances are all there are
+	Complete      bool // Instances has all that exist
 
 	Suspects suspects.News
 
-	Partial bool // there is too much for each instance to read
+	Partial bool // there are too many entries for each instance to read
 }
 
 // Problem is an entry that could not be read.
@@ -46,58 +46,60 @@
 	Err      error
 }
 
-// problemsMost bounds how many entries are remembered to have been told of.
-const problemsMost = 256
+// maxProblems bounds how many logged entries are remembered.
+const maxProblems = 256
 
 // Source reads the store.
 type Source struct {
 	// Most is how many entries each instance may read for itself.
 	Most int
-	// List reads everything, and tells read how many entries each page has.
+	// List reads everything, and calls read with the number of entries of each page.
 	List func(ctx context.Context, read func(entries int)) (News, error)
-	// Begin reads everything as it was up to some seconds ago, which is priced at
-	// a tenth. What it finds first is told to early before the rest is there, and
-	// need not be in its News.
+	// Begin reads everything as it was up to some seconds ago, which costs a tenth of a
+	// current read. It passes what it finds first to early before the rest has been read,
+	// and its News need not repeat it.
 	Begin func(ctx context.Context, early func(News)) (News, error)
-	// Configuration reads the configuration only; its News has no Revision.
+	// Configuration reads only the configuration; its News has no Revision.
 	Configuration func(ctx context.Context) (News, error)
 	// Head returns the store's revision.
 	Head func(ctx context.Context) (int64, error)
-	// Zone reads the instances of a zone; its News has no others.
+	// Zone reads only the instances of a zone.
 	Zone func(ctx context.Context, zone string) (News, error)
 	// Watch waits for changes after revision.
 	Watch func(ctx context.Context, revision int64, wait time.Duration) (News, error)
 }
 
 const (
-	// watchWait is how long one watch waits; each ends as one priced call.
-	watchWait = 20 * time.Second
-	// gatherPart of the time within which changes must be in force is the pause
-	// between two watches: changes that come close together, as when a fleet
-	// starts, are told by one call.
-	gatherPart = 0.125
-	// youngGather is the same in a process that is younger than youth. Where all start
-	// at once, each reads in the first half second the certificates by which planners
-	// and entries know each other; a few more calls by those who watch buy that. Each
-	// change is told to the whole zone, so the pause grows with it by tellTime.
-	youngGather = 100 * time.Millisecond
-	youth       = 2 * time.Second
-	tellTime    = 3 * time.Millisecond
-	// plenty is how many changes are enough for one telling: a store that has more to
-	// tell gives it in parts, some hundred at a time.
-	plenty = 100
-	// catchUpWait is how long a call for the changes so far waits if there are none.
-	catchUpWait = time.Millisecond
-	// standBy is how often an instance that need not watch asks itself whether
-	// it should.
-	standBy = 200 * time.Millisecond
-	// retryFirst and retryMost bound the pause after a failed call. The store
-	// takes 2,000 reads a second from all instances together.
-	retryFirst = 100 * time.Millisecond
-	retryMost  = 800 * time.Millisecond
+	// watchTimeout bounds one watch; each counts as one priced call when it ends.
+	watchTimeout = 20 * time.Second
+	// batchPauseFraction is the pause between two watches, as a fraction of the time within
+	// which changes must be in force: changes that come close together, as when a fleet
+	// starts, are returned by one call.
+	batchPauseFraction = 0.125
+	// startupBatchPause replaces that pause during startupPeriod, the first time after the
+	// process started. Where a whole fleet starts, each instance needs within the first
+	// half second the certificates by which planners and other instances recognise each
+	// other; a few more calls by the watchers are the price. Each change is announced to
+	// the whole zone, so the pause is at least batchPausePerInstance for each instance of
+	// the zone, up to the usual pause.
+	startupBatchPause     = 100 * time.Millisecond
+	startupPeriod         = 2 * time.Second
+	batchPausePerInstance = 3 * time.Millisecond
+	// fullBatch is how many changes make the next call follow without a pause: a store that
+	// has more returns them in parts of some hundred.
+	fullBatch = 100
+	// catchUpTimeout is how long a call for the changes so far waits if there are none.
+	catchUpTimeout = time.Millisecond
+	// standbyInterval is how often an instance that does not watch checks whether it
+	// should.
+	standbyInterval = 200 * time.Millisecond
+	// initialRetryDelay and maxRetryDelay bound the pause after a failed call. The store
+	// serves 2,000 reads a second to all instances together.
+	initialRetryDelay = 100 * time.Millisecond
+	maxRetryDelay     = 800 * time.Millisecond
 )
 
-// Options are what a Feed works with.
+// Options configure a Feed.
 type Options struct {
 	Source    Source
 	Directory *directory.Directory
@@ -107,23 +109,25 @@
 	Now       func() clock.Millis
 	// Bound is the time within which a change must be in force.
 	Bound time.Duration
-	// Lost and Regained are told of each change of the store's reach.
+	// Lost and Regained are called when the store stops answering and when it answers
+	// again.
 	Lost, Regained func()
-	// Watching says whether this instance is to follow the store itself; others
-	// hear from peers. Told is called after news was taken from the store.
+	// Watching reports whether this instance is to watch the store itself; others get
+	// changes from peers. Told is called after the directory has taken something from the
+	// store.
 	Watching func() bool
 	Told     func()
-	// Changed is told when the roster may have changed.
+	// Changed is called when the roster may have changed.
 	Changed func()
-	// Warming is told of an endpoint whose entry says that it is cold.
+	// Warming is called with an endpoint whose entry says that it is cold.
 	Warming func(directory.Endpoint)
-	// ZoneSize is how many instances the own zone has.
+	// ZoneSize returns how many instances the own zone has.
 	ZoneSize func() int
-	// Progressed is told of each page of a reading of everything.
+	// Progressed is called with the number of entries of each page of a complete read.
 	Progressed func(entries int)
-	// Seed learns from peers what is too much to read; false: it is to be read after all.
+	// Seed gets from peers what is too much to read; false: it has to be read after all.
 	Seed func(context.Context) bool
-	// Suspects takes what the store tells of requests that end endpoints.
+	// Suspects takes the store's records of requests that end endpoints.
 	Suspects func(suspects.News)
 }
 
@@ -131,126 +135,127 @@
 type Feed struct {
 	Options
 
-	mu   sync.Mutex
-	lost bool
-	// What is to be read: everything, the configuration, or what changed. wantBegin
-	// and wantAll hold until that is done, so that asks during a listing do not
-	// have it repeated: whoever still lacks something then asks again. The others
-	// are taken back when their reading begins: nobody repeats those asks.
-	wantBegin, wantAll, wantTable, wantChanges bool
+	mu        sync.Mutex
+	storeLost bool
+	// What is to be read: a stale listing, everything, the configuration, or the changes.
+	// needStaleList and needList stay set until the read has succeeded, so that requests
+	// during a listing do not repeat it; an instance that still lacks something then
+	// requests it again. The others are cleared when their read starts, since those
+	// requests are not repeated.
+	needStaleList, needList, needConfiguration, needChanges bool
 
-	current task // what Run does now
+	current task // what Run is doing
 
-	large bool // there was too much to read at the beginning; only Run uses it
+	largeAtStart bool // the start found too many entries to read; used only by Run
 
-	problems map[string]int64 // entries that could not be read: the revision that a line told
+	problems map[string]int64 // entries that could not be read, with the revision that was logged
 
 	cancelWatch context.CancelFunc // nil while no watch is in progress
-	asked       chan struct{}      // wakes Run when something is wanted
+	wakeup      chan struct{}      // wakes Run when something is to be read
 }
 
-// New returns a feed that knows nothing and begins by reading everything.
+// New returns an empty feed that starts by reading everything.
 func New(o Options) *Feed {
-	return &Feed{Options: o, wantBegin: true, wantChanges: true, asked: make(chan struct{}, 1), problems: map[string]int64{}}
+	return &Feed{Options: o, needStaleList: true, needChanges: true, wakeup: make(chan struct{}, 1), problems: map[string]int64{}}
 }
 
-// Run follows until ctx ends.
+// Run follows the store until ctx ends.
 func (f *Feed) Run(ctx context.Context) {
-	began := f.Now()
+	start := f.Now()
 	revision := int64(0)
-	pause := retryFirst
+	retryDelay := initialRetryDelay
 	for ctx.Err() == nil {
-		t := f.claim()
-		if t == readAll && f.isLarge() && f.seed(ctx) {
-			f.met(t)
+		t := f.nextTask()
+		if t == taskList && f.isLarge() && f.seedFromZone(ctx) {
+			f.taskDone(t)
 			revision = max(revision, f.Directory.View().Revision)
-			continue // the zone knew everything
+			continue // the zone had all endpoints
 		}
-		if t == follow && !f.Watching() && !f.isLost() {
-			f.rest(ctx, standBy)
+		if t == taskFollow && !f.Watching() && !f.isLost() {
+			f.waitIdle(ctx, standbyInterval)
 			revision = f.Directory.View().Revision
 			continue
 		}
 		news, err := f.read(ctx, t, revision)
 		switch {
-		case err != nil && t == follow && f.wanted():
-			continue // the watch was ended in favour of a reading
+		case err != nil && t == taskFollow && f.pending():
+			continue // the watch was cancelled in favour of a read
 		case errors.Is(err, ErrHistoryLost):
 			f.Log.Write(eventlog.Line{Event: eventlog.HistoryLost, Revision: revision})
-			f.ask(&f.wantAll)
+			f.request(&f.needList)
 			continue
 		case err != nil:
-			f.failed(err)
-			f.unmet(t)
-			ticker.Sleep(ctx, pause)
-			pause = min(2*pause, retryMost)
+			f.storeFailed(err)
+			f.taskFailed(t)
+			ticker.Sleep(ctx, retryDelay)
+			retryDelay = min(2*retryDelay, maxRetryDelay)
 			continue
 		}
-		pause = retryFirst
-		f.met(t)
+		retryDelay = initialRetryDelay
+		f.taskDone(t)
 		f.Take(news)
-		f.reached(news.Revision)
+		f.storeReached(news.Revision)
 		if news.Partial {
-			f.large = true
-			f.ask(&f.wantTable) // what it began with is old
-			f.ask(&f.wantAll)
+			f.largeAtStart = true
+			f.request(&f.needConfiguration) // the configuration of the stale listing may be out of date
+			f.request(&f.needList)
 		}
 		revision = max(revision, news.Revision, f.Directory.View().Revision)
 		f.Told()
-		if t == begin {
-			continue // what it lacks comes with the next call
+		if t == taskStaleList {
+			continue // the next call reads the changes since that listing
 		}
-		if len(news.Events) < plenty {
-			ticker.Sleep(ctx, f.gather(f.Now().Sub(began)))
+		if len(news.Events) < fullBatch {
+			ticker.Sleep(ctx, f.batchPause(f.Now().Sub(start)))
 		}
 	}
 }
 
-// gather is the pause after a call, at an age of the process.
-func (f *Feed) gather(age time.Duration) time.Duration {
-	usual := time.Duration(gatherPart * float64(f.Bound))
-	if age < youth {
-		return min(usual, max(youngGather, time.Duration(f.ZoneSize())*tellTime))
+// batchPause returns the pause after a call, given the age of the process.
+func (f *Feed) batchPause(age time.Duration) time.Duration {
+	pause := time.Duration(batchPauseFraction * float64(f.Bound))
+	if age < startupPeriod {
+		return min(pause, max(startupBatchPause, time.Duration(f.ZoneSize())*batchPausePerInstance))
 	}
-	return usual
+	return pause
 }
 
-// read makes one call, or those of one reading.
+// read makes the calls of one task.
 func (f *Feed) read(ctx context.Context, t task, revision int64) (News, error) {
 	switch t {
-	case begin:
+	case taskStaleList:
 		return f.Source.Begin(ctx, f.Take)
-	case readAll:
-		return f.list(ctx)
-	case readTable:
+	case taskList:
+		return f.readList(ctx)
+	case taskConfiguration:
 		return f.Source.Configuration(ctx)
-	case catchUp:
-		return f.Source.Watch(ctx, max(revision, f.Directory.View().Revision), catchUpWait)
+	case taskCatchUp:
+		return f.Source.Watch(ctx, max(revision, f.Directory.View().Revision), catchUpTimeout)
 	default:
 		return f.follow(ctx, revision)
 	}
 }
 
-// follow waits for changes, until something else is to be read.
+// follow waits for changes until something else is to be read.
 func (f *Feed) follow(ctx context.Context, revision int64) (News, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	f.watch(cancel)
-	defer f.watch(nil)
-	if f.wanted() {
-		return News{}, context.Canceled // asked for just before the watch began
+	f.setWatch(cancel)
+	defer f.setWatch(nil)
+	if f.pending() {
+		return News{}, context.Canceled // requested just before the watch began
 	}
-	return f.Source.Watch(ctx, revision, watchWait)
+	return f.Source.Watch(ctx, revision, watchTimeout)
 }
 
-// Take applies news to the directory and logs what it changed.
+// Take applies what the store returned and logs what it changed.
 func (f *Feed) Take(n News) {
 	for _, p := range n.Problems {
-		f.unreadable(p)
+		f.logUnreadable(p)
 	}
-	// Instances first: peers ask by the directory's revision, which must not
-	// be ahead of what they are told of instances.
-	f.takeInstances(n)
+	// Instances first: peers request what they lack by the directory's revision, which must
+	// not be ahead of the instances that they are sent.
+	f.applyInstances(n)
 	if s := n.Suspects; f.Suspects != nil && (s.Complete || len(s.Records)+len(s.Released)+len(s.Problems) > 0) {
 		f.Suspects(s)
 	}
@@ -258,14 +263,14 @@
 	for _, e := range n.Events {
 		changes = append(changes, f.Directory.Apply(f.Now(), e)...)
 	}
-	f.note(changes)
+	f.logChanges(changes)
 }
 
-// unreadable writes a line on an entry, once for each of its revisions.
-func (f *Feed) unreadable(p Problem) {
+// logUnreadable logs an entry that could not be read, once for each of its revisions.
+func (f *Feed) logUnreadable(p Problem) {
 	f.mu.Lock()
 	known := f.problems[p.Key] == p.Revision
-	if len(f.problems) >= problemsMost {
+	if len(f.problems) >= maxProblems {
 		clear(f.problems)
 	}
 	f.problems[p.Key] = p.Revision
@@ -277,20 +282,21 @@
 	f.Log.Write(eventlog.Line{Event: eventlog.Unreadable, Detail: p.Err.Error(), Revision: p.Revision})
 }
 
-func (f *Feed) takeInstances(n News) {
+// applyInstances applies what the store returned about instances to the roster and logs it.
+func (f *Feed) applyInstances(n News) {
 	if !n.Complete && len(n.Instances)+len(n.GoneInstances) == 0 {
 		return
 	}
-	gone := n.GoneInstances
+	removed := n.GoneInstances
 	if n.Complete {
-		gone = append(gone, f.Roster.Missing(n.Instances, n.Revision)...)
+		removed = append(removed, f.Roster.Missing(n.Instances, n.Revision)...)
 	}
 	seen := slices.DeleteFunc(slices.Clone(n.Instances), func(i roster.Instance) bool { return !f.Roster.See(i) })
-	// Each at its own revision: one reading may tell of an entry's end and of its
-	// return. Taken at the reading's, whole zones lacked each other's planners for
-	// tens of seconds after a cut.
+	// Each removal at its own revision: one read may return the removal of an entry and its
+	// return. When removals had the revision of the read, whole zones lacked each other's
+	// planners for tens of seconds after a loss of connection.
 	var names []string
-	for _, d := range gone {
+	for _, d := range removed {
 		if f.Roster.Remove(d) {
 			names = append(names, d.Name)
 		}
@@ -300,17 +306,17 @@
 	f.Changed()
 }
 
-// instanceLines is how many instances that are told of together get a line each;
-// more share one. Where a fleet of 195 starts, three lines in four were these.
-const instanceLines = 8
+// maxInstanceLines is how many instances that appear or go together are logged on a line
+// each; more share one. Three of four lines were of this kind where a fleet of 195 started.
+const maxInstanceLines = 8
 
 func (f *Feed) logSeen(seen []roster.Instance, revision int64) {
-	if len(seen) > instanceLines {
+	if len(seen) > maxInstanceLines {
 		names := make([]string, len(seen))
 		for n, i := range seen {
 			names[n] = i.Name
 		}
-		f.logMany("instances_seen", names, revision)
+		f.logSummary("instances_seen", names, revision)
 		return
 	}
 	for _, i := range seen {
@@ -319,8 +325,8 @@
 }
 
 func (f *Feed) logGone(gone []string, revision int64) {
-	if len(gone) > instanceLines {
-		f.logMany("instances_gone", gone, revision)
+	if len(gone) > maxInstanceLines {
+		f.logSummary("instances_gone", gone, revision)
 		return
 	}
 	for _, name := range gone {
@@ -328,23 +334,23 @@
 	}
 }
 
-func (f *Feed) logMany(outcome string, names []string, revision int64) {
+func (f *Feed) logSummary(outcome string, names []string, revision int64) {
 	f.Log.Write(eventlog.Line{
 		Event: eventlog.Believed, Outcome: outcome, Count: int64(len(names)), Detail: strings.Join(names, " "), Revision: revision,
 	})
 }
 
-// Roll reads a zone's instances from the store.
+// Roll reads the instances of a zone from the store.
 func (f *Feed) Roll(ctx context.Context, zone string) error {
 	news, err := f.Source.Zone(ctx, zone)
 	if err == nil {
-		f.takeInstances(news)
+		f.applyInstances(news)
 	}
 	return err
 }
 
-// Heard takes the outcome of another call to the store. A failure ends the
-// watch in progress, which may wait on a connection that is dead.
+// Heard takes the outcome of another call to the store. A failure cancels the watch in
+// progress, which may wait on a dead connection.
 func (f *Feed) Heard(err error) {
 	if err == nil {
 		return
@@ -354,21 +360,21 @@
 	f.endWatch()
 }
 
-// changeLines is how many changes of one kind that come together get a line each; more
-// share one. A start would write ten thousand, at each instance of a large fleet.
-const changeLines = 16
+// maxChangeLines is how many changes of one kind that come together are logged on a line
+// each; more share one. A start would log ten thousand at each instance of a large fleet.
+const maxChangeLines = 16
 
 // Tell applies one event to the directory and logs what it changed.
-func (f *Feed) Tell(e directory.Event) { f.note(f.Directory.Apply(f.Now(), e)) }
+func (f *Feed) Tell(e directory.Event) { f.logChanges(f.Directory.Apply(f.Now(), e)) }
 
-// note logs what was changed, and passes on which endpoints are cold.
-func (f *Feed) note(changes []directory.Change) {
-	many := map[directory.What]int{}
+// logChanges logs changes and reports which endpoints are cold.
+func (f *Feed) logChanges(changes []directory.Change) {
+	counts := map[directory.What]int{}
 	for _, c := range changes {
-		many[c.What]++
+		counts[c.What]++
 	}
-	for what, count := range many {
-		if count > changeLines {
+	for what, count := range counts {
+		if count > maxChangeLines {
 			f.Log.Write(eventlog.Line{
 				Event: eventlog.Believed, Outcome: string(what), Count: int64(count), Revision: f.Directory.View().Revision,
 			})
@@ -378,7 +384,7 @@
 		if c.Endpoint.Cold > 0 && (c.What == directory.EndpointJoined || c.What == directory.EndpointChanged) {
 			f.Warming(c.Endpoint)
 		}
-		if many[c.What] > changeLines {
+		if counts[c.What] > maxChangeLines {
 			continue
 		}
 		n := eventlog.Line{
@@ -392,9 +398,9 @@
 	}
 }
 
-func (f *Feed) failed(err error) {
+func (f *Feed) storeFailed(err error) {
 	f.Tell(directory.StoreLost{})
-	if f.change(true) {
+	if f.setLost(true) {
 		return
 	}
 	f.Scope.Gauge("store_reached").Update(0)
@@ -402,9 +408,9 @@
 	f.Lost()
 }
 
-func (f *Feed) reached(revision int64) {
+func (f *Feed) storeReached(revision int64) {
 	f.Tell(directory.StoreReached{Revision: revision})
-	if !f.change(false) {
+	if !f.setLost(false) {
 		return
 	}
 	f.Scope.Gauge("store_reached").Update(1)
@@ -415,14 +421,14 @@
 func (f *Feed) isLost() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.lost
+	return f.storeLost
 }
 
-// change sets whether the store is lost and returns what was the case before.
-func (f *Feed) change(lost bool) bool {
+// setLost sets whether the store is lost and returns whether it was before.
+func (f *Feed) setLost(lost bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	before := f.lost
-	f.lost = lost
+	before := f.storeLost
+	f.storeLost = lost
 	return before
 }
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -23,25 +23,25 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// source is a store whose readings take a time, as a large configuration does
-// on a link of 10 Mbit/s.
-type source struct {
-	version  atomic.Int64
-	takes    time.Duration
-	begins   atomic.Int64
-	lists    atomic.Int64
-	tables   atomic.Int64
-	watches  atomic.Int64
-	failing  atomic.Bool
-	watching atomic.Bool
+// fakeStore is a store whose reads take a time, as those of a large configuration do on a
+// link of 10 Mbit/s.
+type fakeStore struct {
+	version    atomic.Int64
+	readTime   time.Duration
+	staleLists atomic.Int64
+	lists      atomic.Int64
+	tables     atomic.Int64
+	watches    atomic.Int64
+	failing    atomic.Bool
+	watching   atomic.Bool
 }
 
-// most is how many entries each instance may read.
-const most = 600
+// maxEntries is how many entries each instance may read.
+const maxEntries = 600
 
 var errDown = errors.New("down")
 
-func (s *source) news(ctx context.Context) (feed.News, error) {
+func (s *fakeStore) news(ctx context.Context) (feed.News, error) {
 	version := s.version.Load()
 	if s.failing.Load() {
 		return feed.News{}, errDown
@@ -49,20 +49,20 @@
 	select {
 	case <-ctx.Done():
 		return feed.News{}, ctx.Err()
-	case <-time.After(s.takes):
+	case <-time.After(s.readTime):
 	}
 	table, err := route.NewTable(route.Document{Version: version})
 	return feed.News{Events: []directory.Event{directory.Configured{Table: table, Revision: version}}}, err
 }
 
-func (s *source) open(t *testing.T) (*feed.Feed, *directory.Directory) {
+func (s *fakeStore) newFeed(t *testing.T) (*feed.Feed, *directory.Directory) {
 	d := directory.New()
 	none := func() {}
 	log := eventlog.Open(io.Discard, "n1")
 	t.Cleanup(func() { _ = log.Close() })
 	f := feed.New(feed.Options{
 		Source: feed.Source{
-			Most: most,
+			Most: maxEntries,
 			List: func(ctx context.Context, _ func(int)) (feed.News, error) {
 				s.lists.Add(1)
 				n, err := s.news(ctx)
@@ -70,7 +70,7 @@
 				return n, err
 			},
 			Begin: func(ctx context.Context, _ func(feed.News)) (feed.News, error) {
-				s.begins.Add(1)
+				s.staleLists.Add(1)
 				n, err := s.news(ctx)
 				n.Revision, n.Complete = s.version.Load(), true
 				return n, err
@@ -99,26 +99,26 @@
 	return f, d
 }
 
-// play runs a feed for a time and calls ask every 250 ms meanwhile.
-func play(t *testing.T, f *feed.Feed, length time.Duration, ask func()) {
+// runFeed runs a feed for a time and calls each every 250 ms.
+func runFeed(t *testing.T, f *feed.Feed, length time.Duration, each func()) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), length)
 	defer cancel()
 	go f.Run(ctx)
 	for ctx.Err() == nil {
 		time.Sleep(250 * time.Millisecond)
-		ask()
+		each()
 	}
 	synctest.Wait()
 }
 
-// On the grown couriers' trouble-2, followers of a configuration of 1,304
-// routes asked for it again every 250 ms, and each ask ended the reading in
-// progress: none came to its end for half a minute, at 58,000 calls.
-func TestReadingsAreNotEndedByFurtherAsks(t *testing.T) {
+// A request must not cancel a read in progress. Instances that lacked a configuration of
+// 1,304 routes requested it every 250 ms, and each request cancelled the read: none
+// completed for half a minute, at 58,000 calls.
+func TestRequestsDoNotCancelReads(t *testing.T) {
 	tests := []struct {
-		name string
-		ask  func(*feed.Feed)
+		name    string
+		request func(*feed.Feed)
 	}{
 		{"everything", (*feed.Feed).List},
 		{"the configuration", (*feed.Feed).Configure},
@@ -126,47 +126,47 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := &source{takes: 600 * time.Millisecond}
+				s := &fakeStore{readTime: 600 * time.Millisecond}
 				s.version.Store(7)
-				f, d := s.open(t)
-				play(t, f, 3*time.Second, func() {
+				f, d := s.newFeed(t)
+				runFeed(t, f, 3*time.Second, func() {
 					if v := d.View(); v.Table == nil || v.Table.Version < 7 {
-						test.ask(f)
+						test.request(f)
 					}
 				})
 				qt.Assert(t, d.View().Table, qt.IsNotNil)
-				qt.Assert(t, s.begins.Load()+s.lists.Load()+s.tables.Load() <= 2, qt.IsTrue, qt.Commentf("%d readings", s.begins.Load()+s.lists.Load()+s.tables.Load()))
+				qt.Assert(t, s.staleLists.Load()+s.lists.Load()+s.tables.Load() <= 2, qt.IsTrue, qt.Commentf("%d reads", s.staleLists.Load()+s.lists.Load()+s.tables.Load()))
 			})
 		})
 	}
 }
 
-// What changed after a reading began is read after it.
-func TestConfigurationAskedForDuringAReading(t *testing.T) {
+// What is requested while a read is in progress is read after it.
+func TestConfigurationRequestedDuringRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &source{takes: 600 * time.Millisecond}
+		s := &fakeStore{readTime: 600 * time.Millisecond}
 		s.version.Store(7)
-		f, d := s.open(t)
-		asked := false
-		play(t, f, 3*time.Second, func() {
-			if !asked {
+		f, d := s.newFeed(t)
+		requested := false
+		runFeed(t, f, 3*time.Second, func() {
+			if !requested {
 				s.version.Store(8)
 				f.Configure()
-				asked = true
+				requested = true
 			}
 		})
 		qt.Assert(t, d.View().Table.Version, qt.Equals, int64(8))
 	})
 }
 
-// A reading that failed is tried until it succeeds.
-func TestFailedReadingIsRepeated(t *testing.T) {
+// A read that failed is retried until it succeeds.
+func TestFailedReadIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &source{takes: 10 * time.Millisecond}
+		s := &fakeStore{readTime: 10 * time.Millisecond}
 		s.version.Store(7)
-		f, d := s.open(t)
+		f, d := s.newFeed(t)
 		step := 0
-		play(t, f, 10*time.Second, func() {
+		runFeed(t, f, 10*time.Second, func() {
 			step++
 			switch step {
 			case 2:
@@ -181,16 +181,16 @@
 	})
 }
 
-// An instance that stops watching while it cannot reach the store goes on until
-// it does: nobody else would tell it that the store is back.
-func TestLostStoreIsRegainedByFollowers(t *testing.T) {
+// An instance that stops watching while the store is out of reach keeps calling until the
+// store answers: no peer would tell it that the store is back.
+func TestLostStoreIsRegainedByNonWatchers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &source{takes: 10 * time.Millisecond}
+		s := &fakeStore{readTime: 10 * time.Millisecond}
 		s.version.Store(7)
 		s.watching.Store(true)
-		f, _ := s.open(t)
+		f, _ := s.newFeed(t)
 		step, before := 0, int64(0)
-		play(t, f, 10*time.Second, func() {
+		runFeed(t, f, 10*time.Second, func() {
 			step++
 			switch step {
 			case 2:
@@ -207,30 +207,29 @@
 	})
 }
 
-// A listing from which a process begins may be seconds old. After the loss of
-// everything it names certificates that are gone, so that no peer could tell what
-// has changed since: each process asks the store for that once, also where others
-// watch.
-func TestOldListingIsCaughtUpWith(t *testing.T) {
+// The listing from which a process starts may be seconds old. After the loss of all
+// instances it names certificates that are gone, so that no peer could send the changes
+// since. Each process must read those changes once, also if it does not watch.
+func TestStaleListingIsCaughtUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &source{takes: 10 * time.Millisecond}
+		s := &fakeStore{readTime: 10 * time.Millisecond}
 		s.version.Store(7)
-		f, _ := s.open(t)
-		play(t, f, 250*time.Millisecond, func() {})
-		qt.Assert(t, s.begins.Load(), qt.Equals, int64(1))
+		f, _ := s.newFeed(t)
+		runFeed(t, f, 250*time.Millisecond, func() {})
+		qt.Assert(t, s.staleLists.Load(), qt.Equals, int64(1))
 		qt.Assert(t, s.watches.Load(), qt.Equals, int64(1))
 	})
 }
 
-// Whatever unknown instances knock while the store is lost, it is not asked for them.
-func TestLostStoreIsNotAskedForStrangers(t *testing.T) {
+// Unknown instances that connect while the store is lost must not cause reads.
+func TestLostStoreIsNotReadForUnknownInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &source{takes: 10 * time.Millisecond}
+		s := &fakeStore{readTime: 10 * time.Millisecond}
 		s.version.Store(7)
-		f, _ := s.open(t)
+		f, _ := s.newFeed(t)
 		before := int64(0)
 		step := 0
-		play(t, f, 4*time.Second, func() {
+		runFeed(t, f, 4*time.Second, func() {
 			step++
 			switch {
 			case step == 2:
@@ -242,17 +241,17 @@
 				f.CatchUp()
 			}
 		})
-		// Only the tries of a process that has lost the store, one each 0.8 s.
+		// Only the retries of a process that has lost the store, one each 0.8 s.
 		qt.Assert(t, s.watches.Load()-before <= 4, qt.IsTrue, qt.Commentf("%d calls", s.watches.Load()-before))
 	})
 }
 
-// The start of a large fleet must not flood the log, and no name is left out of it.
+// The start of a large fleet must not flood the log, and no name may be left out.
 func TestManyInstancesShareALine(t *testing.T) {
 	tests := []struct {
 		name      string
 		instances int
-		lines     int // that name instances
+		lines     int // with names of instances
 	}{
 		{"none", 0, 0},
 		{"a few", 8, 8},
@@ -280,15 +279,15 @@
 	}
 }
 
-// Where a fleet starts, instances must know each other's certificates before they can
-// ask planners, so changes are read at once; later they are gathered.
-func TestYoungFeedReadsChangesSooner(t *testing.T) {
+// Where a fleet starts, instances must know each other's certificates before they can call
+// planners, so changes are read at once; later they are batched.
+func TestBatchPauseIsShorterAtStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := &source{}
+		s := &fakeStore{}
 		s.version.Store(1)
 		s.watching.Store(true)
-		f, _ := s.open(t)
+		f, _ := s.newFeed(t)
 		f.Source.Watch = func(_ context.Context, revision int64, _ time.Duration) (feed.News, error) {
 			s.watches.Add(1)
 			return feed.News{Revision: revision + 1}, nil // something changes all the time
@@ -296,19 +295,19 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go f.Run(ctx)
-		time.Sleep(time.Second + 50*time.Millisecond) // between two readings, here and below
-		young := s.watches.Load()
+		time.Sleep(time.Second + 50*time.Millisecond) // between two reads, here and below
+		atStart := s.watches.Load()
 		time.Sleep(2 * time.Second)
 		before := s.watches.Load()
 		time.Sleep(time.Second)
 		later := s.watches.Load() - before
-		c.Check(young >= 9, qt.IsTrue, qt.Commentf("%d", young))
+		c.Check(atStart >= 9, qt.IsTrue, qt.Commentf("%d", atStart))
 		c.Check(later <= 4, qt.IsTrue, qt.Commentf("%d", later))
 	})
 }
 
-// A start tells of ten thousand endpoints; what one event brings of many writes a line or
-// two, of a few a line each.
+// The start of a fleet brings ten thousand endpoints. Many changes that come together share
+// a line; a few have a line each.
 func TestManyChangesShareALine(t *testing.T) {
 	tests := []struct{ endpoints, lines int }{{3, 3}, {1000, 1}}
 	for _, test := range tests {
@@ -331,18 +330,18 @@
 	}
 }
 
-// Where the store holds too much for each instance to read, one that lacks something asks
-// its zone before it reads everything, at its start and later; who is told by nobody reads.
-func TestLargeStoresAreReadByFew(t *testing.T) {
-	for _, told := range []bool{true, false} {
+// Where the store has too much for each instance to read, one that lacks something requests
+// it from its zone first, at its start and later. It reads the store if no peer has it.
+func TestLargeStoreIsReadFromPeersFirst(t *testing.T) {
+	for _, seeded := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
 			ctx, cancel := context.WithCancel(t.Context())
-			s := &source{}
+			s := &fakeStore{}
 			s.version.Store(1)
-			f, _ := s.open(t)
+			f, _ := s.newFeed(t)
 			seeds := 0
-			f.Seed = func(context.Context) bool { seeds++; return told }
+			f.Seed = func(context.Context) bool { seeds++; return seeded }
 			begin := f.Source.Begin
 			f.Source.Begin = func(ctx context.Context, early func(feed.News)) (feed.News, error) {
 				n, err := begin(ctx, early)
@@ -357,7 +356,7 @@
 			cancel()
 			<-done
 			want := int64(2)
-			if told {
+			if seeded {
 				want = 0
 			}
 			c.Check(seeds, qt.Equals, 2)
@@ -366,15 +365,15 @@
 	}
 }
 
-// A store that was small when an instance began, as where all of a fleet starts together,
-// is large once it has filled.
-func TestStoresGrowLarge(t *testing.T) {
-	for _, size := range []int{most, most + 1} {
+// A store that was small when an instance started, as when a whole fleet starts, counts as
+// large once it has filled.
+func TestStoreGrowsLarge(t *testing.T) {
+	for _, size := range []int{maxEntries, maxEntries + 1} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
-			s := &source{}
+			s := &fakeStore{}
 			s.version.Store(1)
-			f, _ := s.open(t)
+			f, _ := s.newFeed(t)
 			seeds := 0
 			f.Seed = func(context.Context) bool { seeds++; return true }
 			done := make(chan struct{})
@@ -387,33 +386,32 @@
 			time.Sleep(time.Second)
 			cancel()
 			<-done
-			qt.Check(t, seeds == 1, qt.Equals, size > most)
-			qt.Check(t, s.lists.Load() == 0, qt.Equals, size > most)
+			qt.Check(t, seeds == 1, qt.Equals, size > maxEntries)
+			qt.Check(t, s.lists.Load() == 0, qt.Equals, size > maxEntries)
 		})
 	}
 }
 
-// To learn of all endpoints of a large store takes long; a configuration that is written
-// meanwhile, or was written since the old listing with which an instance begins, comes
-// into force all the same.
-func TestConfigurationIsReadWhileEndpointsAreLearned(t *testing.T) {
+// Reading all endpoints of a large store takes long. A configuration that is written
+// meanwhile, or was written after the stale listing, must come into force all the same.
+func TestConfigurationIsReadWhileEndpointsAreRead(t *testing.T) {
 	tests := []struct {
-		name string
-		told bool // by the zone; else everything is read
-	}{{"told by the zone", true}, {"read", false}}
+		name   string
+		seeded bool // by the zone; else everything is read
+	}{{"from the zone", true}, {"read", false}}
 	for _, test := range tests {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
 			const long = 10 * time.Second
 			ctx, cancel := context.WithCancel(t.Context())
-			s := &source{takes: 50 * time.Millisecond}
+			s := &fakeStore{readTime: 50 * time.Millisecond}
 			s.version.Store(1)
-			f, d := s.open(t)
+			f, d := s.newFeed(t)
 			f.Seed = func(context.Context) bool {
-				if test.told {
+				if test.seeded {
 					time.Sleep(long)
 				}
-				return test.told
+				return test.seeded
 			}
 			begin := f.Source.Begin
 			f.Source.Begin = func(ctx context.Context, early func(feed.News)) (feed.News, error) {
@@ -446,17 +444,16 @@
 	}
 }
 
-// A store with thousands of changes to tell gives them in parts; the pause in which changes
-// are gathered is for few, and between such parts would take half a minute at a fleet's
-// start.
-func TestPlentyOfChangesIsTakenAtOnce(t *testing.T) {
+// A store with thousands of changes returns them in parts. The pause that batches a few
+// changes, made between such parts, would take half a minute when a fleet starts.
+func TestFullBatchesAreReadWithoutPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
-		s := &source{}
+		s := &fakeStore{}
 		s.version.Store(1)
 		s.watching.Store(true)
-		f, d := s.open(t)
+		f, d := s.newFeed(t)
 		const part, all = 500, 10_000
 		f.Source.Watch = func(ctx context.Context, _ int64, _ time.Duration) (feed.News, error) {
 			time.Sleep(5 * time.Millisecond)
@@ -474,25 +471,25 @@
 			}
 			return news, nil
 		}
-		began := time.Now()
+		start := time.Now()
 		done := make(chan struct{})
 		go func() { defer close(done); f.Run(ctx) }()
-		for d.View().Size() < all && time.Since(began) < time.Minute {
+		for d.View().Size() < all && time.Since(start) < time.Minute {
 			time.Sleep(10 * time.Millisecond)
 		}
-		c.Check(time.Since(began) < time.Second, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
+		c.Check(time.Since(start) < time.Second, qt.IsTrue, qt.Commentf("%v", time.Since(start)))
 		cancel()
 		<-done
 	})
 }
 
-// Whoever asked for changes can see that they are not here yet.
-func TestChangesThatAreStillToCome(t *testing.T) {
+// The caller of CatchUp can see that the changes have not been read yet.
+func TestCatchingUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := &source{}
+		s := &fakeStore{}
 		s.version.Store(7)
-		f, _ := s.open(t)
+		f, _ := s.newFeed(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { defer close(done); f.Run(ctx) }()
--- a/internal/feed/task.go
+++ b/internal/feed/task.go
@@ -10,143 +10,144 @@
 // task is what Run does next.
 type task int
 
-// The tasks.
+// Tasks of Run.
 const (
-	follow task = iota
-	catchUp
-	readTable
-	readAll
-	begin
+	taskFollow task = iota
+	taskCatchUp
+	taskConfiguration
+	taskList
+	taskStaleList
 )
 
-// watch notes the function that ends the watch in progress; nil: there is none.
-func (f *Feed) watch(cancel context.CancelFunc) {
+// setWatch sets the function that cancels the watch in progress; nil: there is none.
+func (f *Feed) setWatch(cancel context.CancelFunc) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cancelWatch = cancel
 }
 
-func (f *Feed) wanted() bool {
+func (f *Feed) pending() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.wantBegin || f.wantAll || f.wantTable || f.wantChanges
+	return f.needStaleList || f.needList || f.needConfiguration || f.needChanges
 }
 
-// claim returns the next task.
-func (f *Feed) claim() task {
+// nextTask returns the next task.
+func (f *Feed) nextTask() task {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.current = f.next()
+	f.current = f.selectTask()
 	return f.current
 }
 
-// next takes back what is wanted first. The caller holds the lock.
-func (f *Feed) next() task {
+// selectTask returns the most urgent task and clears the requests that it fulfils. The
+// caller holds the lock.
+func (f *Feed) selectTask() task {
 	switch {
-	case f.wantBegin:
-		f.wantTable = false
-		return begin
-	case f.wantAll:
-		f.wantTable, f.wantChanges = f.wantTable && f.isLarge(), false
-		return readAll
-	case f.wantTable:
-		f.wantTable = false
-		return readTable
-	case f.wantChanges:
-		f.wantChanges = false
-		return catchUp
+	case f.needStaleList:
+		f.needConfiguration = false
+		return taskStaleList
+	case f.needList:
+		f.needConfiguration, f.needChanges = f.needConfiguration && f.isLarge(), false
+		return taskList
+	case f.needConfiguration:
+		f.needConfiguration = false
+		return taskConfiguration
+	case f.needChanges:
+		f.needChanges = false
+		return taskCatchUp
 	default:
-		return follow
+		return taskFollow
 	}
 }
 
-func (f *Feed) met(t task) {
+func (f *Feed) taskDone(t task) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch t {
-	case begin:
-		f.wantBegin = false
-	case readAll:
-		f.wantAll = false
-	case follow, readTable, catchUp:
+	case taskStaleList:
+		f.needStaleList = false
+	case taskList:
+		f.needList = false
+	case taskFollow, taskConfiguration, taskCatchUp:
 	}
 }
 
-func (f *Feed) unmet(t task) {
+func (f *Feed) taskFailed(t task) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch t {
-	case readTable:
-		f.wantTable = true
-	case catchUp:
-		f.wantChanges = true
-	case begin, readAll, follow:
+	case taskConfiguration:
+		f.needConfiguration = true
+	case taskCatchUp:
+		f.needChanges = true
+	case taskStaleList, taskList, taskFollow:
 	}
 }
 
-// rest waits until something is wanted, at most until an interval ends.
-func (f *Feed) rest(ctx context.Context, interval time.Duration) {
+// waitIdle waits until something is requested, but no longer than the end of the interval.
+func (f *Feed) waitIdle(ctx context.Context, interval time.Duration) {
 	timer := time.NewTimer(ticker.UntilNext(interval))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-f.asked:
+	case <-f.wakeup:
 	}
 }
 
-// endWatch ends a watch in progress, and never a reading: one that takes longer
-// than the pauses between those who ask for it would not come to its end. The
-// caller holds the lock.
+// endWatch cancels a watch in progress, but never another read: one that takes longer than
+// the interval at which it is requested would never complete. The caller holds the lock.
 func (f *Feed) endWatch() {
 	if f.cancelWatch != nil {
 		f.cancelWatch()
 	}
 }
 
-// List has everything read.
+// List requests a read of everything.
 func (f *Feed) List() {
 	f.Scope.Counter("feed_listed_anew").Inc(1)
-	f.ask(&f.wantAll)
+	f.request(&f.needList)
 }
 
-// Configure has the configuration read.
+// Configure requests a read of the configuration.
 func (f *Feed) Configure() {
 	f.Scope.Counter("feed_configuration_read").Inc(1)
-	f.ask(&f.wantTable)
+	f.request(&f.needConfiguration)
 }
 
-// CatchUp has the changes read that this process lacks, as when an instance knocks
-// that it does not know. While the store does not answer, that one can have written
-// no entry either.
+// CatchUp requests a read of the changes that this process lacks, as when an unknown
+// instance connects. While the store does not answer there is no point: that instance
+// cannot have written an entry either.
 func (f *Feed) CatchUp() {
 	if f.isLost() {
 		return
 	}
 	f.Scope.Counter("feed_caught_up").Inc(1)
-	f.ask(&f.wantChanges)
+	f.request(&f.needChanges)
 }
 
-// CatchingUp says whether changes are being read, or are to be. Until they are here it is
-// not known that they do not bring what is lacking.
+// CatchingUp reports whether changes are being read or are still to be read. Until then
+// they may still bring what is missing.
 func (f *Feed) CatchingUp() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.wantChanges || f.current == catchUp
+	return f.needChanges || f.current == taskCatchUp
 }
 
-func (f *Feed) ask(want *bool) {
+// request sets one of the need flags and cancels the watch in progress.
+func (f *Feed) request(need *bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	*want = true
+	*need = true
 	f.endWatch()
 	f.wake()
 }
 
-// wake has Run see what is wanted.
+// wake makes Run check what is requested.
 func (f *Feed) wake() {
 	select {
-	case f.asked <- struct{}{}:
-	default: // it is awake already
+	case f.wakeup <- struct{}{}:
+	default: // a wake-up is pending
 	}
 }
