--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,8 +1,7 @@
-// Package directory keeps what an instance believes of the configuration and
-// of the endpoints. Facts come from the platform's store and, while that is out
-// of reach, from peers; each carries the store's revision, and an older fact
-// never replaces a newer one. Apply is pure apart from the lock: the caller
-// gives the time, and learns from the returned changes what to log.
+// Package directory keeps an instance's view of the configuration and of the endpoints.
+// Facts come from the platform's store and, while that is out of reach, from peers. Each
+// carries the store's revision, and an older fact never replaces a newer one. Apply is pure
+// apart from the lock: the caller passes the time, and logs the changes that it returns.
 package directory
 
 import (
@@ -21,67 +20,68 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// settle is how long after the store's return an endpoint that it does not list
-// still counts as present. The users' second letter: entries of endpoints that
-// live are back within about two seconds of the store's return.
-const settle = 2200 * time.Millisecond
+// settlePeriod is how long after the store's return an endpoint that it does not list still
+// counts as present. The platform has the entries of live endpoints back within about two
+// seconds of the store's return.
+const settlePeriod = 2200 * time.Millisecond
 
-// State is an endpoint's own statement on whether it takes new work.
+// State says whether an endpoint takes new work.
 type State int
 
 // States of an endpoint.
 const (
 	Ready State = iota
 	Draining
-	Evacuated // its zone is; only views tell it, as an endpoint knows nothing of it
+	Evacuated // its zone is evacuated; set only in views, as the endpoint does not know
 )
 
-// Stage is the part an engine plays.
+// Stage is the part of the work that an engine does.
 type Stage int
 
 // Stages of an engine.
 const (
-	Whole Stage = iota // reads and decodes; also every plain service
+	Whole Stage = iota // prefill and decode; also every plain service
 	Prefill
 	Decode
 )
 
-// Endpoint is one life of a replica of a service, as its entry in the store
-// tells. What was learned, held or counted of an endpoint goes by its ID, so that
-// nothing of one life is taken for another's.
+// Endpoint is one incarnation of a replica of a service, as its entry in the store
+// describes it: a replica that starts again is another incarnation. All state about an
+// endpoint is kept by its ID, so that nothing of one incarnation is attributed to another.
 type Endpoint struct {
-	ID       string         `cbor:"1,keyasint"`           // of this life
-	Entry    string         `cbor:"2,keyasint"`           // what the store and the endpoint itself know it by, in all its lives
-	Born     int64          `cbor:"3,keyasint,omitempty"` // ms since 1970, when this life began; 0 if it does not say
+	ID       string         `cbor:"1,keyasint"`           // of this incarnation
+	Entry    string         `cbor:"2,keyasint"`           // name in the store and to the endpoint itself, the same for all incarnations
+	Born     int64          `cbor:"3,keyasint,omitempty"` // start of this incarnation, in ms since 1970; 0 if unknown
 	Service  string         `cbor:"4,keyasint"`
 	Address  netip.AddrPort `cbor:"5,keyasint"`
 	Zone     string         `cbor:"6,keyasint"`
 	Slots    int            `cbor:"7,keyasint"`
 	State    State          `cbor:"8,keyasint,omitempty"`
 	Stage    Stage          `cbor:"9,keyasint,omitempty"`
-	Revision int64          `cbor:"10,keyasint"`           // of the store, when this was written
-	Cold     time.Duration  `cbor:"11,keyasint,omitempty"` // how long it still was cold, when this was written
+	Revision int64          `cbor:"10,keyasint"`           // of the store, when this entry was written
+	Cold     time.Duration  `cbor:"11,keyasint,omitempty"` // how long it would stay cold, when this entry was written
 }
 
-// Live returns the endpoint as the life that began at born.
+// Live returns the endpoint as the incarnation that started at born.
 func (e Endpoint) Live(born int64) Endpoint {
 	e.Born, e.ID = born, e.Entry
 	if born != 0 {
-		e.ID += lifeMark + strconv.FormatInt(born, 36)
+		e.ID += startSeparator + strconv.FormatInt(born, 36)
 	}
 	return e
 }
 
-// entry is what the store knows the endpoint by.
+// entry returns the endpoint's name in the store.
 func (e Endpoint) entry() string {
 	if e.Entry == "" {
-		return e.ID // it has one life
+		return e.ID // it has one incarnation
 	}
 	return e.Entry
 }
 
-// before says whether e is older than o: of an earlier life or, within one, of an
-// earlier revision. A word of an earlier life may be written after one of a later.
+// before reports whether e is older than o: of an earlier incarnation or, within one, of an
+// earlier revision. An earlier incarnation's entry may be written after that of a later
+// one.
 func (e Endpoint) before(o Endpoint) bool {
 	if e.Born != o.Born && e.Born != 0 && o.Born != 0 {
 		return e.Born < o.Born
@@ -89,19 +89,19 @@
 	return e.Revision < o.Revision
 }
 
-// earlier orders endpoints by their revisions.
-func (e *Endpoint) earlier(o *Endpoint) bool {
+// less orders endpoints by revision, then by entry.
+func (e *Endpoint) less(o *Endpoint) bool {
 	return e.Revision < o.Revision || e.Revision == o.Revision && e.entry() < o.entry()
 }
 
-// mark is what a digest of beliefs has of an endpoint.
-func (e *Endpoint) mark() uint64 {
+// hash returns the endpoint's part of a view's digest.
+func (e *Endpoint) hash() uint64 {
 	return xxhash.Sum64String(e.ID + strconv.FormatInt(e.Revision, 16))
 }
 
-// compact returns the endpoint with its texts shared: thousands of endpoints have a few
-// services and zones between them.
-func (e Endpoint) compact() Endpoint {
+// interned returns the endpoint with shared strings: thousands of endpoints have only a few
+// services and zones.
+func (e Endpoint) interned() Endpoint {
 	e.Service, e.Zone = unique.Make(e.Service).Value(), unique.Make(e.Zone).Value()
 	if strings.HasPrefix(e.ID, e.Entry) {
 		e.ID = strings.Clone(e.ID)
@@ -110,54 +110,54 @@
 	return e
 }
 
-// lifeMark is between an entry and the time when a life began, in an id.
-const lifeMark = "@"
+// startSeparator separates the entry from the incarnation's start in an ID.
+const startSeparator = "@"
 
-// entryOf is the entry of the life that has an id.
-func entryOf(id string) string {
-	if i := strings.LastIndex(id, lifeMark); i >= 0 {
+// entryFromID returns the entry of the incarnation with an ID.
+func entryFromID(id string) string {
+	if i := strings.LastIndex(id, startSeparator); i >= 0 {
 		return id[:i]
 	}
 	return id
 }
 
-// Directory is the aggregate.
+// Directory holds the current facts and publishes a view of them after each change.
 type Directory struct {
 	view atomic.Pointer[View]
 
-	mu         sync.Mutex
-	table      *route.Table
-	tableRev   int64
-	endpoints  map[string]*held       // by entry
-	newest     *btree.BTreeG[*held]   // endpoints by revision and entry
-	removed    map[string]int64       // by entry: revision of its removal
-	removals   *btree.BTreeG[Removed] // the same by revision and entry
-	leaving    map[string]departure   // by id: lives that said in an answer that they leave
-	leavers    map[string][]string    // of leaving, for views; nil: to be made anew
-	zones      map[string]Evacuation  // by zone, also those that are over
-	shown      shown                  // what the next view has
-	missing    int                    // endpoints that the store does not list
-	digest     uint64                 // of the endpoints
-	revision   int64
-	storeLost  bool
-	returnedAt clock.Millis // when the store was last reached again; 0 at first
-}
-
-// held is an endpoint with what is doubted of it.
-type held struct {
-	endpoint *Endpoint // replaced and never changed, since views share it
+	mu              sync.Mutex
+	table           *route.Table
+	tableRev        int64
+	endpoints       map[string]*record     // by entry
+	byRevision      *btree.BTreeG[*record] // endpoints by revision and entry
+	removedAt       map[string]int64       // by entry: revision of its removal
+	removals        *btree.BTreeG[Removed] // the same by revision and entry
+	leaving         map[string]leavingMark // by ID: incarnations that announced in an answer that they leave
+	leavingIDs      map[string][]string    // of leaving, for views; nil: to be computed again
+	zones           map[string]Evacuation  // by zone, including those that are over
+	index           viewIndex              // endpoints of the next view
+	missing         int                    // endpoints that the store does not list
+	digest          uint64                 // of the endpoints
+	revision        int64
+	storeLost       bool
+	storeReturnedAt clock.Millis // when the store was last reached again; 0 if it was never lost
+}
+
+// record is an endpoint with the doubts about it.
+type record struct {
+	endpoint *Endpoint // replaced, never modified, since views share it
 	missing  bool      // the store does not list it
 	denied   bool      // another endpoint answered at its address: it is not used
 }
 
-// New returns a directory that knows nothing.
+// New returns an empty directory.
 func New() *Directory {
 	d := &Directory{
-		endpoints: map[string]*held{}, removed: map[string]int64{}, leaving: map[string]departure{}, zones: map[string]Evacuation{},
-		shown: newShown(),
+		endpoints: map[string]*record{}, removedAt: map[string]int64{}, leaving: map[string]leavingMark{}, zones: map[string]Evacuation{},
+		index: newViewIndex(),
 	}
 	unlocked := btree.Options{NoLocks: true} // the directory's own lock guards them
-	d.newest = btree.NewBTreeGOptions(func(a, b *held) bool { return a.endpoint.earlier(b.endpoint) }, unlocked)
+	d.byRevision = btree.NewBTreeGOptions(func(a, b *record) bool { return a.endpoint.less(b.endpoint) }, unlocked)
 	d.removals = btree.NewBTreeGOptions(func(a, b Removed) bool {
 		return a.Revision < b.Revision || a.Revision == b.Revision && a.Entry < b.Entry
 	}, unlocked)
@@ -165,58 +165,58 @@
 	return d
 }
 
-// View returns the present beliefs.
+// View returns the current view.
 func (d *Directory) View() *View { return d.view.Load() }
 
-// Refutes says whether more is known here of an endpoint than a peer knew who told
-// of it: that it is gone or leaves, that its zone is evacuated, that its address is
-// another's, or that it started anew.
+// Refutes reports whether this directory has newer facts about an endpoint than the peer
+// that sent it: that it is gone or leaving, that its zone is evacuated, that its address
+// belongs to another endpoint, or that it has started again.
 func (d *Directory) Refutes(e Endpoint) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if _, leaving := d.leaving[e.ID]; leaving || d.removed[e.entry()] >= e.Revision || d.isEvacuated(e.Zone) {
+	if _, leaving := d.leaving[e.ID]; leaving || d.removedAt[e.entry()] >= e.Revision || d.isEvacuated(e.Zone) {
 		return true
 	}
 	h := d.endpoints[e.entry()]
 	return h != nil && (h.denied && h.endpoint.ID == e.ID || e.before(*h.endpoint))
 }
 
-// Apply takes one event and returns what it changed.
+// Apply applies one event and returns what it changed.
 func (d *Directory) Apply(now clock.Millis, e Event) []Change {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var changes []Change
 	switch e := e.(type) {
 	case Configured:
-		changes = d.configure(e)
+		changes = d.applyConfiguration(e)
 	case Listed:
-		changes = d.list(now, e)
+		changes = d.applyListing(now, e)
 	case Relayed:
-		changes = d.relay(e)
+		changes = d.applyPeerUpdate(e)
 	case Seen:
-		changes = d.see(e.Endpoint)
+		changes = d.applyEntry(e.Endpoint)
 		d.revision = max(d.revision, e.Endpoint.Revision)
 	case Removed:
-		changes = d.remove(now, e)
+		changes = d.applyRemoval(now, e)
 		d.revision = max(d.revision, e.Revision)
 	case Evacuation:
-		changes = d.evacuate(e)
+		changes = d.applyEvacuation(e)
 		d.revision = max(d.revision, e.Revision)
 	case Denied:
-		changes = d.deny(e)
+		changes = d.markDenied(e)
 	case Leaving:
-		changes = d.leave(now, e)
+		changes = d.markLeaving(now, e)
 	case StoreLost:
 		d.storeLost = true
 	case StoreReached:
 		d.revision = max(d.revision, e.Revision)
 		if d.storeLost {
 			d.storeLost = false
-			d.returnedAt = now
+			d.storeReturnedAt = now
 		}
 	case Tick:
-		d.forgetLeaving(now)
-		changes = d.expire(now)
+		d.expireLeaving(now)
+		changes = d.removeMissing(now)
 	}
 	if len(changes) > 0 || d.view.Load().Revision != d.revision {
 		d.publish()
@@ -224,7 +224,7 @@
 	return changes
 }
 
-func (d *Directory) configure(e Configured) []Change {
+func (d *Directory) applyConfiguration(e Configured) []Change {
 	if d.table != nil && e.Table.Version <= d.table.Version {
 		return nil
 	}
@@ -232,14 +232,14 @@
 	return []Change{{What: ConfigurationChanged, Version: e.Table.Version, Revision: e.Revision}}
 }
 
-// list takes a whole listing of the store: what it lacks is gone, at once or,
-// shortly after an outage, once it has stayed missing.
-func (d *Directory) list(now clock.Millis, e Listed) []Change {
+// applyListing applies a complete listing of the store: what it lacks is gone, at once or,
+// shortly after an outage, if it is still missing later.
+func (d *Directory) applyListing(now clock.Millis, e Listed) []Change {
 	var changes []Change
 	present := make(map[string]bool, len(e.Endpoints)+len(e.Present))
 	for _, p := range e.Endpoints {
 		present[p.entry()] = true
-		changes = append(changes, d.see(p)...)
+		changes = append(changes, d.applyEntry(p)...)
 	}
 	for _, entry := range e.Present {
 		present[entry] = true
@@ -248,54 +248,54 @@
 		if present[entry] || h.endpoint.Revision > e.Revision {
 			continue
 		}
-		changes = append(changes, d.remove(now, Removed{Entry: entry, Revision: e.Revision})...)
+		changes = append(changes, d.applyRemoval(now, Removed{Entry: entry, Revision: e.Revision})...)
 	}
-	changes = append(changes, d.evacuateOnly(e.Evacuations, e.Revision)...)
+	changes = append(changes, d.applyAllEvacuations(e.Evacuations, e.Revision)...)
 	d.revision = max(d.revision, e.Revision)
 	return changes
 }
 
-// relay takes a peer's complete view. The peer has judged what was doubtful, so
-// what it lacks is gone.
-func (d *Directory) relay(e Relayed) []Change {
+// applyPeerUpdate applies what a peer has sent. A peer with a complete view has already
+// decided about doubtful endpoints, so what it lacks is gone.
+func (d *Directory) applyPeerUpdate(e Relayed) []Change {
 	var changes []Change
 	present := make(map[string]bool, len(e.Endpoints))
 	for _, p := range e.Endpoints {
 		present[p.entry()] = true
-		changes = append(changes, d.see(p)...)
+		changes = append(changes, d.applyEntry(p)...)
 	}
 	for _, g := range e.Gone {
 		if h := d.endpoints[g.Entry]; h != nil && h.endpoint.Revision <= g.Revision {
-			changes = append(changes, d.drop(h, g.Revision)...)
+			changes = append(changes, d.removeEndpoint(h, g.Revision)...)
 		}
 	}
 	for entry, h := range d.endpoints {
 		if e.Whole && !present[entry] && h.endpoint.Revision <= e.Revision {
-			changes = append(changes, d.drop(h, e.Revision)...)
+			changes = append(changes, d.removeEndpoint(h, e.Revision)...)
 		}
 	}
 	if e.Whole {
-		changes = append(changes, d.evacuateOnly(e.Evacuations, e.Revision)...)
+		changes = append(changes, d.applyAllEvacuations(e.Evacuations, e.Revision)...)
 	} else {
 		for _, z := range e.Evacuations {
-			changes = append(changes, d.evacuate(z)...)
+			changes = append(changes, d.applyEvacuation(z)...)
 		}
 	}
 	d.revision = max(d.revision, e.Revision)
 	return changes
 }
 
-// Since returns what changed after a revision, for a peer that has seen the rest: all of
-// it, or the first so many endpoints if most is not 0.
-func (d *Directory) Since(revision int64, most int) Relayed {
+// Since returns what changed after a revision, for a peer that has everything up to it. If
+// limit is not 0, it stops after that many endpoints, at the end of a revision.
+func (d *Directory) Since(revision int64, limit int) Relayed {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	out := Relayed{Revision: d.revision, Digest: d.view.Load().Digest}
 	after := revision + 1
-	d.newest.Ascend(&held{endpoint: &Endpoint{Revision: after}}, func(h *held) bool {
-		// Those of one revision stay together: the peer asks on from there.
-		if told := len(out.Endpoints); most > 0 && told >= most && out.Endpoints[told-1].Revision < h.endpoint.Revision {
-			out.More, out.Revision, out.Digest = true, out.Endpoints[told-1].Revision, 0
+	d.byRevision.Ascend(&record{endpoint: &Endpoint{Revision: after}}, func(h *record) bool {
+		// Entries of one revision stay together: the peer continues after that revision.
+		if n := len(out.Endpoints); limit > 0 && n >= limit && out.Endpoints[n-1].Revision < h.endpoint.Revision {
+			out.More, out.Revision, out.Digest = true, out.Endpoints[n-1].Revision, 0
 			return false
 		}
 		out.Endpoints = append(out.Endpoints, *h.endpoint)
@@ -319,33 +319,33 @@
 	return out
 }
 
-func (d *Directory) see(p Endpoint) []Change {
-	if d.removed[p.entry()] >= p.Revision {
+func (d *Directory) applyEntry(p Endpoint) []Change {
+	if d.removedAt[p.entry()] >= p.Revision {
 		return nil
 	}
-	p = p.compact()
+	p = p.interned()
 	h := d.endpoints[p.entry()]
 	if h == nil {
-		d.join(p)
+		d.add(p)
 		return []Change{{What: EndpointJoined, Endpoint: p, Revision: p.Revision}}
 	}
 	before := *h.endpoint
 	if p.before(before) {
 		if h.missing && p.Revision > before.Revision {
-			d.setMissing(h, false) // the entry is there, though an earlier life wrote it
+			d.setMissing(h, false) // the entry exists, though an earlier incarnation wrote it
 		}
 		return nil
 	}
 	if before.ID != p.ID {
-		d.part(h)
-		d.join(p)
+		d.discard(h)
+		d.add(p)
 		return []Change{
 			{What: EndpointGone, Endpoint: before, Revision: p.Revision},
 			{What: EndpointJoined, Endpoint: p, Revision: p.Revision},
 		}
 	}
 	wasMissing, wasDenied := h.missing, h.denied
-	h.denied = wasDenied && p.Revision == before.Revision // a new entry is believed anew
+	h.denied = wasDenied && p.Revision == before.Revision // a new entry is trusted again
 	d.setMissing(h, false)
 	d.replace(h, p)
 	if before.State != p.State {
@@ -358,60 +358,59 @@
 	return []Change{{What: EndpointChanged, Endpoint: p, Revision: p.Revision}}
 }
 
-func (d *Directory) remove(now clock.Millis, e Removed) []Change {
+func (d *Directory) applyRemoval(now clock.Millis, e Removed) []Change {
 	h := d.endpoints[e.Entry]
 	if h == nil {
-		d.bury(e)
+		d.recordRemoval(e)
 		return nil
 	}
 	if e.Revision < h.endpoint.Revision {
 		return nil
 	}
-	if d.state(h) == Ready && d.unsettled(now) {
+	if d.state(h) == Ready && d.settling(now) {
 		if !h.missing {
 			d.setMissing(h, true)
 			return []Change{{What: EndpointMissing, Endpoint: *h.endpoint, Revision: e.Revision}}
 		}
 		return nil
 	}
-	return d.drop(h, e.Revision)
+	return d.removeEndpoint(h, e.Revision)
 }
 
-func (d *Directory) drop(h *held, revision int64) []Change {
-	d.part(h)
-	d.bury(Removed{Entry: h.endpoint.entry(), Revision: revision})
+func (d *Directory) removeEndpoint(h *record, revision int64) []Change {
+	d.discard(h)
+	d.recordRemoval(Removed{Entry: h.endpoint.entry(), Revision: revision})
 	return []Change{{What: EndpointGone, Endpoint: *h.endpoint, Revision: revision}}
 }
 
-// bury notes that an entry was removed, so that no older fact brings it back.
-func (d *Directory) bury(r Removed) {
-	before, known := d.removed[r.Entry]
+// recordRemoval records that an entry was removed, so that no older fact restores it.
+func (d *Directory) recordRemoval(r Removed) {
+	before, known := d.removedAt[r.Entry]
 	if known && before >= r.Revision {
 		return
 	}
 	if known {
 		d.removals.Delete(Removed{Entry: r.Entry, Revision: before})
 	}
-	d.removed[r.Entry] = r.Revision
+	d.removedAt[r.Entry] = r.Revision
 	d.removals.Set(r)
 }
 
-// deny takes an endpoint whose address turned out to belong to another one out
-// of use. It still counts as told by the store, so that the digest shows
-// peers no difference that they could mend.
-func (d *Directory) deny(e Denied) []Change {
-	h := d.life(e.ID)
+// markDenied stops the use of an endpoint whose address turned out to belong to another. It
+// stays in the digest, since peers have no newer facts that could resolve a difference.
+func (d *Directory) markDenied(e Denied) []Change {
+	h := d.find(e.ID)
 	if h == nil || h.denied {
 		return nil
 	}
 	h.denied = true
-	d.show(h)
+	d.updateIndex(h)
 	return []Change{{What: EndpointDenied, Endpoint: *h.endpoint, Revision: h.endpoint.Revision}}
 }
 
-// life returns the endpoint whose present life has an id; nil if there is none.
-func (d *Directory) life(id string) *held {
-	for _, entry := range []string{id, entryOf(id)} {
+// find returns the record of the incarnation with an ID if it is the current one, or nil.
+func (d *Directory) find(id string) *record {
+	for _, entry := range []string{id, entryFromID(id)} {
 		if h := d.endpoints[entry]; h != nil && h.endpoint.ID == id {
 			return h
 		}
@@ -419,35 +418,35 @@
 	return nil
 }
 
-// join begins to hold an endpoint.
-func (d *Directory) join(p Endpoint) {
-	h := &held{endpoint: &p}
+// add starts a record of an endpoint.
+func (d *Directory) add(p Endpoint) {
+	h := &record{endpoint: &p}
 	d.endpoints[p.entry()] = h
-	d.newest.Set(h)
-	d.digest ^= p.mark()
-	d.show(h)
+	d.byRevision.Set(h)
+	d.digest ^= p.hash()
+	d.updateIndex(h)
 }
 
-// part holds an endpoint no more.
-func (d *Directory) part(h *held) {
+// discard removes the record of an endpoint.
+func (d *Directory) discard(h *record) {
 	d.setMissing(h, false)
 	delete(d.endpoints, h.endpoint.entry())
-	d.newest.Delete(h)
-	d.digest ^= h.endpoint.mark()
-	d.shown.drop(h.endpoint.ID)
-	d.leavers = nil
+	d.byRevision.Delete(h)
+	d.digest ^= h.endpoint.hash()
+	d.index.remove(h.endpoint.ID)
+	d.leavingIDs = nil
 }
 
-// replace takes a newer entry of the same life.
-func (d *Directory) replace(h *held, p Endpoint) {
-	d.newest.Delete(h)
-	d.digest ^= h.endpoint.mark() ^ p.mark()
+// replace replaces an entry by a newer one of the same incarnation.
+func (d *Directory) replace(h *record, p Endpoint) {
+	d.byRevision.Delete(h)
+	d.digest ^= h.endpoint.hash() ^ p.hash()
 	h.endpoint = &p
-	d.newest.Set(h)
-	d.show(h)
+	d.byRevision.Set(h)
+	d.updateIndex(h)
 }
 
-func (d *Directory) setMissing(h *held, missing bool) {
+func (d *Directory) setMissing(h *record, missing bool) {
 	if h.missing == missing {
 		return
 	}
@@ -459,13 +458,13 @@
 	}
 }
 
-// show has the next view tell of an endpoint as it is now.
-func (d *Directory) show(h *held) {
+// updateIndex brings an endpoint's current state into the next view.
+func (d *Directory) updateIndex(h *record) {
 	if len(d.leaving) > 0 {
-		d.leavers = nil
+		d.leavingIDs = nil
 	}
 	if h.denied {
-		d.shown.drop(h.endpoint.ID)
+		d.index.remove(h.endpoint.ID)
 		return
 	}
 	e := h.endpoint
@@ -478,40 +477,42 @@
 		other.State = state
 		e = &other
 	}
-	d.shown.put(e)
+	d.index.put(e)
 }
 
-// state is an endpoint's, as its entry or its answers tell.
-func (d *Directory) state(h *held) State {
+// state returns an endpoint's state according to its entry and its answers.
+func (d *Directory) state(h *record) State {
 	if _, leaving := d.leaving[h.endpoint.ID]; leaving {
 		return Draining
 	}
 	return h.endpoint.State
 }
 
-// unsettled says that entries may be absent only because the store was away.
-func (d *Directory) unsettled(now clock.Millis) bool {
-	return d.storeLost || d.returnedAt != 0 && now.Sub(d.returnedAt) < settle
+// settling reports whether entries may be missing only because the store was out of reach.
+func (d *Directory) settling(now clock.Millis) bool {
+	return d.storeLost || d.storeReturnedAt != 0 && now.Sub(d.storeReturnedAt) < settlePeriod
 }
 
-func (d *Directory) expire(now clock.Millis) []Change {
-	if d.missing == 0 || d.unsettled(now) {
+// removeMissing removes endpoints that are still missing after the store has settled.
+func (d *Directory) removeMissing(now clock.Millis) []Change {
+	if d.missing == 0 || d.settling(now) {
 		return nil
 	}
 	var changes []Change
 	for _, h := range d.endpoints {
 		if h.missing {
-			changes = append(changes, d.drop(h, d.revision)...)
+			changes = append(changes, d.removeEndpoint(h, d.revision)...)
 		}
 	}
 	return changes
 }
 
+// publish makes a view of the current facts available to readers.
 func (d *Directory) publish() {
-	v := d.shown.view()
+	v := d.index.view()
 	v.Table, v.TableRev, v.Revision = d.table, d.tableRev, d.revision
 	v.Leaving, v.Doubtful = d.leavingByService(), d.missing > 0
-	zones, digest := d.evacuated()
+	zones, digest := d.evacuatedZones()
 	v.Evacuated, v.Digest = zones, d.digest^digest
 	d.view.Store(v)
 }
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -29,12 +29,12 @@
 func configured(version int64) directory.Configured {
 	table, err := route.NewTable(route.Document{Version: version})
 	if err != nil {
-		panic(err) // every positive version is good
+		panic(err) // every positive version is valid
 	}
 	return directory.Configured{Table: table, Revision: version}
 }
 
-func TestListingDropsWhatItLacks(t *testing.T) {
+func TestListingRemovesMissingEndpoints(t *testing.T) {
 	c := qt.New(t)
 	d := directory.New()
 	d.Apply(0, directory.Listed{Endpoints: []directory.Endpoint{endpoint("e1", 1), endpoint("e2", 2)}, Revision: 2})
@@ -45,7 +45,7 @@
 }
 
 // A listing that is older than an entry says nothing about it.
-func TestOldListingDropsNothingNewer(t *testing.T) {
+func TestOldListingKeepsNewerEntries(t *testing.T) {
 	d := directory.New()
 	d.Apply(0, directory.Seen{Endpoint: endpoint("new", 9)})
 	d.Apply(1, directory.Listed{Revision: 5})
@@ -54,10 +54,10 @@
 
 func TestMissingAfterOutage(t *testing.T) {
 	tests := []struct {
-		name   string
-		at     clock.Millis // of the look, the store came back at 10 000
-		back   bool         // the entry was written again
-		remain bool
+		name      string
+		at        clock.Millis // of the check; the store came back at 10,000
+		rewritten bool         // the entry was written again
+		present   bool
 	}{
 		{"just after", 10_500, false, true},
 		{"stays missing", 12_400, false, false},
@@ -70,19 +70,18 @@
 			d.Apply(5_000, directory.StoreLost{})
 			d.Apply(10_000, directory.Listed{Revision: 8})
 			d.Apply(10_000, directory.StoreReached{Revision: 8})
-			if test.back {
+			if test.rewritten {
 				d.Apply(10_400, directory.Seen{Endpoint: endpoint("e1", 9)})
 			}
 			d.Apply(test.at, directory.Tick{})
-			qt.Assert(t, ids(d)["e1"], qt.Equals, test.remain)
+			qt.Assert(t, ids(d)["e1"], qt.Equals, test.present)
 		})
 	}
 }
 
-// A removal shortly after the store's return is held only until the store has
-// settled, not for as long again: requests reached an endpoint 2.2 s after it
-// had left (hunt, couriers trouble-1 391720134430, DRAIN).
-func TestRemovalAfterReturnIsNotHeldLonger(t *testing.T) {
+// A removal shortly after the store's return is delayed only until the store has settled,
+// not for a further period: requests reached an endpoint 2.2 s after it had left.
+func TestRemovalAfterReturnIsNotDelayedFurther(t *testing.T) {
 	c := qt.New(t)
 	d := directory.New()
 	d.Apply(0, directory.Seen{Endpoint: endpoint("e1", 1)})
@@ -94,8 +93,8 @@
 	c.Assert(ids(d)["e1"], qt.IsFalse)
 }
 
-// While the store is away, a peer's report of what is gone counts at once.
-func TestPeerSaysGone(t *testing.T) {
+// While the store is out of reach, a peer's report of what is gone applies at once.
+func TestPeerRemovalDuringOutage(t *testing.T) {
 	d := directory.New()
 	d.Apply(0, directory.Seen{Endpoint: endpoint("e1", 1)})
 	d.Apply(10, directory.StoreLost{})
@@ -103,9 +102,9 @@
 	qt.Assert(t, ids(d), qt.DeepEquals, map[string]bool{"e2": true})
 }
 
-// What one instance learned since a revision brings another one to the same
-// beliefs, whatever happened in between.
-func TestSinceBringsAnotherUpToDate(t *testing.T) {
+// What one instance has learned since a revision brings another one to the same view,
+// whatever happened in between.
+func TestSinceSynchronizesViews(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		a, b := directory.New(), directory.New()
 		revision := int64(0)
@@ -123,12 +122,12 @@
 		}
 		b.Apply(0, a.Since(b.View().Revision, 0))
 		if !maps.Equal(ids(a), ids(b)) || a.View().Digest != b.View().Digest {
-			rt.Fatalf("%v and %v", ids(a), ids(b))
+			rt.Fatalf("views differ: %v and %v", ids(a), ids(b))
 		}
 	})
 }
 
-func TestRemovedDoesNotReturnByOldWord(t *testing.T) {
+func TestOldEntryDoesNotRestoreEndpoint(t *testing.T) {
 	d := directory.New()
 	d.Apply(0, directory.Seen{Endpoint: endpoint("e1", 3)})
 	d.Apply(1, directory.Removed{Entry: "e1", Revision: 5})
@@ -138,9 +137,9 @@
 	qt.Assert(t, ids(d)["e1"], qt.IsTrue)
 }
 
-// Whatever comes in whatever order: a configuration never goes back, and an
+// For any sequence of events, a configuration never goes back to an earlier version, and an
 // endpoint's entry is never replaced by an older one.
-func TestNothingGoesBack(t *testing.T) {
+func TestRevisionsNeverDecrease(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		d := directory.New()
 		version, now := int64(0), clock.Millis(0)
@@ -188,10 +187,10 @@
 	}
 }
 
-// An endpoint that another one answered for is out of use, but an instance that
-// found that out believes of the store what its peers do: a digest of its own
-// made followers list the store every second (grown couriers, scale-2).
-func TestDeniedEndpointIsOutOfUse(t *testing.T) {
+// An endpoint whose address another one answered for is not used, but it must stay in the
+// digest: with a different digest, an instance made others read the whole store every
+// second.
+func TestDeniedEndpointIsNotUsed(t *testing.T) {
 	c := qt.New(t)
 	d, other := directory.New(), directory.New()
 	for _, each := range []*directory.Directory{d, other} {
@@ -203,37 +202,37 @@
 	c.Assert(d.Apply(11, directory.Denied{ID: "e1"}), qt.HasLen, 0)
 	c.Assert(ids(d), qt.DeepEquals, map[string]bool{"e2": true})
 	c.Assert(d.View().Digest, qt.Equals, other.View().Digest)
-	// The same entry told again changes nothing, a new one is believed.
+	// The same entry again changes nothing; a new one is trusted.
 	d.Apply(20, directory.Listed{Endpoints: []directory.Endpoint{endpoint("e1", 1), endpoint("e2", 2)}, Revision: 3})
 	c.Assert(ids(d), qt.DeepEquals, map[string]bool{"e2": true})
 	d.Apply(30, directory.Seen{Endpoint: endpoint("e1", 4)})
 	c.Assert(ids(d), qt.DeepEquals, map[string]bool{"e1": true, "e2": true})
 }
 
-// What one instance doubts after the store's return, another may know to be
-// gone: the doubt shows in the view, and in the digest that goes with what is
-// told, so that a third one notices which changes it was not told of.
-func TestDoubtShowsInWhatIsTold(t *testing.T) {
+// After the store's return one instance may doubt an endpoint that another knows to be
+// gone. This must show in the view and in the digest that goes with the changes, so that a
+// third instance notices which changes it did not get.
+func TestDoubtShowsInDigest(t *testing.T) {
 	c := qt.New(t)
 	listed := directory.Listed{Endpoints: []directory.Endpoint{endpoint("e1", 1), endpoint("e2", 2)}, Revision: 2}
-	sure, doubting, third := directory.New(), directory.New(), directory.New()
-	for _, d := range []*directory.Directory{sure, doubting, third} {
+	certain, doubting, third := directory.New(), directory.New(), directory.New()
+	for _, d := range []*directory.Directory{certain, doubting, third} {
 		d.Apply(0, listed)
 	}
 	doubting.Apply(10, directory.StoreLost{})
 	doubting.Apply(20, directory.StoreReached{Revision: 2})
-	for _, d := range []*directory.Directory{sure, doubting} {
+	for _, d := range []*directory.Directory{certain, doubting} {
 		d.Apply(30, directory.Removed{Entry: "e1", Revision: 5})
 		d.Apply(30, directory.Seen{Endpoint: endpoint("e3", 6)})
 	}
 	c.Assert(doubting.View().Doubtful, qt.IsTrue)
-	c.Assert(sure.View().Doubtful, qt.IsFalse)
+	c.Assert(certain.View().Doubtful, qt.IsFalse)
 	third.Apply(40, doubting.Since(2, 0))
-	news := sure.Since(6, 0)
-	third.Apply(50, news)
-	c.Assert(third.View().Revision, qt.Equals, news.Revision)
-	c.Assert(third.View().Digest, qt.Not(qt.Equals), news.Digest)
-	third.Apply(60, sure.Since(0, 0))
+	update := certain.Since(6, 0)
+	third.Apply(50, update)
+	c.Assert(third.View().Revision, qt.Equals, update.Revision)
+	c.Assert(third.View().Digest, qt.Not(qt.Equals), update.Digest)
+	third.Apply(60, certain.Since(0, 0))
 	c.Assert(ids(third), qt.DeepEquals, map[string]bool{"e2": true, "e3": true})
-	c.Assert(third.View().Digest, qt.Equals, sure.View().Digest)
+	c.Assert(third.View().Digest, qt.Equals, certain.View().Digest)
 }
--- a/internal/directory/event.go
+++ b/internal/directory/event.go
@@ -2,7 +2,7 @@
 
 import "github.com/trailshed/trailshed/internal/route"
 
-// Event is something learned; the types below are all of them.
+// Event is a fact to apply; the types below are all of them.
 type Event interface{ event() }
 
 // Configured brings a version of the configuration.
@@ -11,24 +11,24 @@
 	Revision int64
 }
 
-// Listed brings all endpoints and all zones that are evacuated, complete up to Revision.
+// Listed holds all endpoints and all evacuated zones, complete up to Revision.
 type Listed struct {
 	Endpoints []Endpoint
-	// Present are the entries of those that were told before.
+	// Present are the entries of endpoints that earlier events have brought.
 	Present     []string
 	Evacuations []Evacuation
 	Revision    int64
 }
 
-// Relayed brings what a peer believes beyond what was asked for: everything if
-// Whole, else what changed and what is gone, up to Revision.
+// Relayed holds what a peer sent in response to a request: everything if Whole, else what
+// changed and what is gone, up to Revision.
 type Relayed struct {
 	Whole       bool
 	Endpoints   []Endpoint
 	Gone        []Removed
 	Evacuations []Evacuation
 	Revision    int64
-	Digest      uint64 // of the peer's beliefs at Revision; 0 if that is not all
+	Digest      uint64 // of the peer's view at Revision; 0 if the response is not complete
 	More        bool   // there is more after Revision
 }
 
@@ -41,8 +41,8 @@
 	Revision int64  `cbor:"2,keyasint"`
 }
 
-// Evacuation says whether the operators have a zone evacuated: its endpoints get
-// nothing until that is over.
+// Evacuation says whether the operators have evacuated a zone: its endpoints get no
+// requests until that is over.
 type Evacuation struct {
 	Zone     string `cbor:"1,keyasint"`
 	Over     bool   `cbor:"2,keyasint,omitempty"`
@@ -52,17 +52,17 @@
 // Denied says that another endpoint answered at this one's address.
 type Denied struct{ ID string }
 
-// Leaving says that an endpoint's answer told that it leaves.
+// Leaving says that an endpoint announced in an answer that it leaves.
 type Leaving struct{ ID string }
 
-// StoreLost says that the store stopped answering this instance.
+// StoreLost says that the store no longer answers this instance.
 type StoreLost struct{}
 
-// StoreReached says that the store answers this instance, and that everything
-// up to Revision has been told.
+// StoreReached says that the store answers this instance, and that everything up to
+// Revision has been applied.
 type StoreReached struct{ Revision int64 }
 
-// Tick lets time pass.
+// Tick says that time has passed.
 type Tick struct{}
 
 func (Configured) event()   {}
@@ -77,10 +77,10 @@
 func (StoreReached) event() {}
 func (Tick) event()         {}
 
-// What names a change of belief, as log lines show it.
+// What names a kind of change, as log lines show it.
 type What string
 
-// The changes of belief.
+// Kinds of changes.
 const (
 	ConfigurationChanged What = "configuration_changed"
 	EndpointJoined       What = "endpoint_joined"
@@ -94,11 +94,11 @@
 	ZoneRestored         What = "zone_restored"
 )
 
-// Change is one change of belief.
+// Change is one change of the view.
 type Change struct {
 	What     What
 	Endpoint Endpoint // of endpoint changes
 	Zone     string   // of evacuations
 	Version  int64    // of configuration changes
-	Revision int64    // of the store, that brought it
+	Revision int64    // of the store, at which it changed
 }
--- a/internal/directory/leaving.go
+++ b/internal/directory/leaving.go
@@ -6,62 +6,64 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// leavingMemory is how long the word of an endpoint that leaves is kept once nothing
-// tells of it any more: an entry that lapsed while the store was away comes back with
-// the store, and outages last minutes. It costs some 100 bytes for each such endpoint.
-const leavingMemory = time.Hour
+// leavingRetention is how long it is remembered that an endpoint leaves after its entry is
+// gone: an entry that lapsed while the store was out of reach returns with the store, and
+// outages last minutes. It costs some 100 bytes for each such endpoint.
+const leavingRetention = time.Hour
 
-// departure is what is known of a life that said that it leaves.
-type departure struct {
-	entry string       // its own; empty if that was not known then
-	at    clock.Millis // when something last told of it
+// leavingMark records an incarnation that announced that it leaves.
+type leavingMark struct {
+	entry       string       // its entry; empty if that was not known then
+	confirmedAt clock.Millis // when its entry was last present or it last announced leaving
 }
 
-// leave takes an endpoint's own word that it leaves. It holds for that life, whatever
-// its entry tells: while the store is away no entry tells of a leaving endpoint.
-func (d *Directory) leave(now clock.Millis, e Leaving) []Change {
+// markLeaving records that an endpoint announced in an answer that it leaves. This holds
+// for that incarnation whatever its entry says: while the store is out of reach, no entry
+// shows that an endpoint leaves.
+func (d *Directory) markLeaving(now clock.Millis, e Leaving) []Change {
 	if known, ok := d.leaving[e.ID]; ok {
-		d.leaving[e.ID] = departure{entry: known.entry, at: now}
+		d.leaving[e.ID] = leavingMark{entry: known.entry, confirmedAt: now}
 		return nil
 	}
 	change := Change{What: EndpointSaysLeaving, Endpoint: Endpoint{ID: e.ID}, Revision: d.revision}
-	said := departure{at: now}
-	h := d.life(e.ID)
+	mark := leavingMark{confirmedAt: now}
+	h := d.find(e.ID)
 	if h != nil {
-		change.Endpoint, said.entry = *h.endpoint, h.endpoint.entry()
+		change.Endpoint, mark.entry = *h.endpoint, h.endpoint.entry()
 	}
-	d.leaving[e.ID] = said
-	d.leavers = nil
+	d.leaving[e.ID] = mark
+	d.leavingIDs = nil
 	if h != nil {
-		d.show(h)
+		d.updateIndex(h)
 	}
 	return []Change{change}
 }
 
-// forgetLeaving forgets the lives of which nothing has told for long. It runs some times
-// a second, so it looks at those that leave and not at all endpoints.
-func (d *Directory) forgetLeaving(now clock.Millis) {
+// expireLeaving drops incarnations whose entry has been gone for leavingRetention, without
+// a further announcement. It runs several times a second, so it visits only those that
+// leave and not all endpoints.
+func (d *Directory) expireLeaving(now clock.Millis) {
 	for id, l := range d.leaving {
 		h := d.endpoints[l.entry]
 		switch {
 		case h != nil && h.endpoint.ID == id:
-			d.leaving[id] = departure{entry: l.entry, at: now}
-		case now.Sub(l.at) > leavingMemory:
+			d.leaving[id] = leavingMark{entry: l.entry, confirmedAt: now}
+		case now.Sub(l.confirmedAt) > leavingRetention:
 			delete(d.leaving, id)
 		}
 	}
 }
 
-// leavingByService returns, by service, the ids of those whose entry tells another state.
+// leavingByService returns, by service, the IDs of those whose entry has another state.
 func (d *Directory) leavingByService() map[string][]string {
-	if d.leavers != nil {
-		return d.leavers
+	if d.leavingIDs != nil {
+		return d.leavingIDs
 	}
-	d.leavers = map[string][]string{}
+	d.leavingIDs = map[string][]string{}
 	for id := range d.leaving {
-		if h := d.life(id); h != nil && !h.denied && h.endpoint.State != Draining {
-			d.leavers[h.endpoint.Service] = append(d.leavers[h.endpoint.Service], id)
+		if h := d.find(id); h != nil && !h.denied && h.endpoint.State != Draining {
+			d.leavingIDs[h.endpoint.Service] = append(d.leavingIDs[h.endpoint.Service], id)
 		}
 	}
-	return d.leavers
+	return d.leavingIDs
 }
--- a/internal/directory/view.go
+++ b/internal/directory/view.go
@@ -9,28 +9,28 @@
 	"github.com/trailshed/trailshed/internal/route"
 )
 
-// View is what requests read: immutable, replaced at each change. Views share what did
-// not change between them, so that a new one costs as much as the change and not as
-// much as the fleet.
+// View is the immutable state that requests read. Each change publishes a new one. Views
+// share what did not change, so that the cost of a new view depends on the change and not
+// on the size of the fleet.
 type View struct {
 	Table    *route.Table // nil while no configuration is known
 	Revision int64        // up to which this view is complete
 	TableRev int64        // of the store, when Table was written
-	Digest   uint64       // of the ids and revisions that the store tells
-	// Leaving are, by service, the ids of those that leave as only their own answers to
-	// this instance tell. Others may take them for ready.
+	Digest   uint64       // of the IDs and revisions in the store, and of the evacuations
+	// Leaving are, by service, the IDs of endpoints whose leaving is known only from their
+	// answers to this instance. Other instances may take them for ready.
 	Leaving   map[string][]string
 	Evacuated map[string]bool // zones
-	Doubtful  bool            // the store may lack some of the endpoints only because it was away
-	Ready     int             // endpoints that take requests
+	Doubtful  bool            // endpoints may be missing in the store only because it was out of reach
+	Ready     int             // number of endpoints that take requests
 
-	byID    *btree.Map[string, *Endpoint]
-	byPlace *btree.BTreeG[*Endpoint] // by service, zone and id
+	byID       *btree.Map[string, *Endpoint]
+	byLocation *btree.BTreeG[*Endpoint] // by service, zone and id
 }
 
-// NewView returns a view of endpoints that stand alone, as without a directory.
+// NewView returns a view of the given endpoints, without a directory.
 func NewView(table *route.Table, endpoints ...*Endpoint) *View {
-	s := newShown()
+	s := newViewIndex()
 	for _, e := range endpoints {
 		s.put(e)
 	}
@@ -39,7 +39,7 @@
 	return v
 }
 
-// Version is the configuration's, or 0.
+// Version returns the version of the configuration, or 0 if there is none.
 func (v *View) Version() int64 {
 	if v.Table == nil {
 		return 0
@@ -47,10 +47,10 @@
 	return v.Table.Version
 }
 
-// Size is the number of endpoints.
+// Size returns the number of endpoints.
 func (v *View) Size() int { return v.byID.Len() }
 
-// Find returns the endpoint with an id, or nil.
+// Find returns the endpoint with an ID, or nil.
 func (v *View) Find(id string) *Endpoint {
 	e, _ := v.byID.Get(id)
 	return e
@@ -59,7 +59,7 @@
 // Service yields a service's endpoints, zone by zone.
 func (v *View) Service(name string) iter.Seq[*Endpoint] {
 	return func(yield func(*Endpoint) bool) {
-		v.byPlace.Ascend(&Endpoint{Service: name}, func(e *Endpoint) bool {
+		v.byLocation.Ascend(&Endpoint{Service: name}, func(e *Endpoint) bool {
 			return e.Service == name && yield(e)
 		})
 	}
@@ -68,13 +68,13 @@
 // Zone yields a service's endpoints of one zone.
 func (v *View) Zone(service, zone string) iter.Seq[*Endpoint] {
 	return func(yield func(*Endpoint) bool) {
-		v.byPlace.Ascend(&Endpoint{Service: service, Zone: zone}, func(e *Endpoint) bool {
+		v.byLocation.Ascend(&Endpoint{Service: service, Zone: zone}, func(e *Endpoint) bool {
 			return e.Service == service && e.Zone == zone && yield(e)
 		})
 	}
 }
 
-// Engines yields a zone's engines with what their service says of them.
+// Engines yields a zone's engines with their service's engine settings.
 func (v *View) Engines(zone string) iter.Seq2[*Endpoint, *route.Engine] {
 	return func(yield func(*Endpoint, *route.Engine) bool) {
 		if v.Table == nil {
@@ -93,22 +93,22 @@
 	}
 }
 
-// shown is the endpoints of the next view.
-type shown struct {
+// viewIndex holds the endpoints of the next view.
+type viewIndex struct {
 	byID    *btree.Map[string, *Endpoint]
 	byPlace *btree.BTreeG[*Endpoint]
 	ready   int
 }
 
-func newShown() shown {
-	return shown{
+func newViewIndex() viewIndex {
+	return viewIndex{
 		byID: &btree.Map[string, *Endpoint]{},
-		// Only the directory writes, under its lock; views are copies that nobody writes.
-		byPlace: btree.NewBTreeGOptions(atEarlierPlace, btree.Options{NoLocks: true}),
+		// Only the directory writes, under its lock; views are read-only copies.
+		byPlace: btree.NewBTreeGOptions(lessByLocation, btree.Options{NoLocks: true}),
 	}
 }
 
-func atEarlierPlace(a, b *Endpoint) bool {
+func lessByLocation(a, b *Endpoint) bool {
 	if c := strings.Compare(a.Service, b.Service); c != 0 {
 		return c < 0
 	}
@@ -118,8 +118,8 @@
 	return a.ID < b.ID
 }
 
-func (s *shown) put(e *Endpoint) {
-	s.drop(e.ID)
+func (s *viewIndex) put(e *Endpoint) {
+	s.remove(e.ID)
 	s.byID.Set(e.ID, e)
 	s.byPlace.Set(e)
 	if e.State == Ready {
@@ -127,7 +127,7 @@
 	}
 }
 
-func (s *shown) drop(id string) {
+func (s *viewIndex) remove(id string) {
 	before, known := s.byID.Delete(id)
 	if !known {
 		return
@@ -138,7 +138,7 @@
 	}
 }
 
-// view returns a view of these endpoints that later changes leave as it is.
-func (s *shown) view() *View {
-	return &View{byID: s.byID.Copy(), byPlace: s.byPlace.Copy(), Ready: s.ready}
+// view returns a view of these endpoints that later changes do not affect.
+func (s *viewIndex) view() *View {
+	return &View{byID: s.byID.Copy(), byLocation: s.byPlace.Copy(), Ready: s.ready}
 }
--- a/internal/directory/view_test.go
+++ b/internal/directory/view_test.go
@@ -14,7 +14,7 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// fleetEndpoint is one of many, in one of five zones.
+// fleetEndpoint returns one of many endpoints, in one of five zones.
 func fleetEndpoint(n int, revision int64) directory.Endpoint {
 	e := directory.Endpoint{
 		Entry: fmt.Sprintf("i-%06d", n), Service: "llm", Zone: fmt.Sprintf("zone-%d", n%5), Slots: 12, Revision: revision,
@@ -23,7 +23,7 @@
 	return e.Live(int64(1_700_000_000_000 + n))
 }
 
-// bigDirectory knows so many endpoints.
+// bigDirectory returns a directory with a number of endpoints.
 func bigDirectory(endpoints int) *directory.Directory {
 	d := directory.New()
 	all := make([]directory.Endpoint, endpoints)
@@ -34,7 +34,7 @@
 	return d
 }
 
-// allocated is the bytes that work allocates.
+// allocated returns the bytes that work allocates.
 func allocated(work func()) int64 {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -43,9 +43,10 @@
 	return int64(after.TotalAlloc - before.TotalAlloc)
 }
 
-// Entries change as often as there are endpoints, and every instance takes each change:
-// what one costs must not grow with the fleet as well. It does with the depth of a tree.
-func TestOneChangeCostsTheSameInAnyFleet(t *testing.T) {
+// Entries change more often the more endpoints there are, and every instance applies each
+// change: the cost of one change must not grow with the fleet as well, except with the
+// depth of a tree.
+func TestChangeCostIsIndependentOfFleetSize(t *testing.T) {
 	const changes = 200
 	cost := func(endpoints int) int64 {
 		d := bigDirectory(endpoints)
@@ -59,25 +60,25 @@
 	qt.Assert(t, large <= 3*small, qt.IsTrue, qt.Commentf("%d bytes at 500 endpoints, %d at 20,000", small, large))
 }
 
-// What a peer lacks is found without a look at all that it has.
-func TestWhatChangedCostsTheSameInAnyFleet(t *testing.T) {
+// What a peer lacks is found without visiting all endpoints.
+func TestSinceCostIsIndependentOfFleetSize(t *testing.T) {
 	cost := func(endpoints int) int64 {
 		d := bigDirectory(endpoints)
 		for n := range 10 {
 			d.Apply(1, directory.Seen{Endpoint: fleetEndpoint(n, int64(endpoints+n+1))})
 		}
-		var news directory.Relayed
-		bytes := allocated(func() { news = d.Since(int64(endpoints), 0) })
-		qt.Assert(t, news.Endpoints, qt.HasLen, 10)
+		var update directory.Relayed
+		bytes := allocated(func() { update = d.Since(int64(endpoints), 0) })
+		qt.Assert(t, update.Endpoints, qt.HasLen, 10)
 		return bytes
 	}
 	small, large := cost(500), cost(20_000)
 	qt.Assert(t, large <= 2*small, qt.IsTrue, qt.Commentf("%d bytes at 500 endpoints, %d at 20,000", small, large))
 }
 
-// Told in parts of any size, from any revision on, a peer comes to believe the same.
-func TestWhatChangedIsToldInParts(t *testing.T) {
-	for _, most := range []int{0, 1, 7, 100, 1000} {
+// A peer that gets the changes in parts of any size ends with the same view.
+func TestSinceInParts(t *testing.T) {
+	for _, limit := range []int{0, 1, 7, 100, 1000} {
 		c := qt.New(t)
 		d := bigDirectory(100)
 		d.Apply(0, directory.Removed{Entry: fleetEndpoint(3, 0).Entry, Revision: 101})
@@ -85,13 +86,13 @@
 		d.Apply(0, directory.Seen{Endpoint: fleetEndpoint(5, 103)})
 		other, revision, parts := directory.New(), int64(0), 0
 		for {
-			news := d.Since(revision, most)
-			c.Assert(most == 0 || len(news.Endpoints) <= most, qt.IsTrue)
-			c.Assert(news.Revision > revision, qt.IsTrue)
-			c.Assert(news.Whole, qt.Equals, revision == 0 && !news.More)
-			other.Apply(0, news)
-			revision, parts = news.Revision, parts+1
-			if !news.More {
+			update := d.Since(revision, limit)
+			c.Assert(limit == 0 || len(update.Endpoints) <= limit, qt.IsTrue)
+			c.Assert(update.Revision > revision, qt.IsTrue)
+			c.Assert(update.Whole, qt.Equals, revision == 0 && !update.More)
+			other.Apply(0, update)
+			revision, parts = update.Revision, parts+1
+			if !update.More {
 				break
 			}
 		}
@@ -99,35 +100,35 @@
 		c.Assert(other.View().Digest, qt.Equals, d.View().Digest)
 		c.Assert(other.View().Size(), qt.Equals, 99)
 		c.Assert(other.View().Evacuated, qt.DeepEquals, map[string]bool{"zone-1": true})
-		if most > 0 {
-			c.Assert(parts, qt.Equals, (99+most-1)/most)
+		if limit > 0 {
+			c.Assert(parts, qt.Equals, (99+limit-1)/limit)
 		}
 	}
 }
 
-// copied is what a view tells, by service and zone.
+// copied returns the contents of a view by service and by zone.
 func copied(v *directory.View) map[string][]directory.Endpoint {
-	told := map[string][]directory.Endpoint{}
+	contents := map[string][]directory.Endpoint{}
 	for _, service := range []string{"web", "llm"} {
 		for e := range v.Service(service) {
-			told[service] = append(told[service], *e)
+			contents[service] = append(contents[service], *e)
 		}
 		for _, zone := range []string{"a", "b"} {
 			for e := range v.Zone(service, zone) {
-				told[service+"/"+zone] = append(told[service+"/"+zone], *e)
+				contents[service+"/"+zone] = append(contents[service+"/"+zone], *e)
 			}
 		}
 	}
-	return told
+	return contents
 }
 
-// Whatever events come, a view does not change once it was taken, and its ways to look at
-// endpoints tell the same.
+// For any sequence of events, a view does not change after it was published, and all its
+// accessors agree.
 func TestViewsDoNotChange(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		d := directory.New()
 		var views []*directory.View
-		var then []map[string][]directory.Endpoint
+		var snapshots []map[string][]directory.Endpoint
 		for step := range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			e := directory.Endpoint{
 				Entry:   rapid.SampledFrom([]string{"e1", "e2", "e3", "e4"}).Draw(rt, "entry"),
@@ -146,10 +147,10 @@
 			}).Draw(rt, "event")
 			d.Apply(clock.Millis(step), event)
 			v := d.View()
-			views, then = append(views, v), append(then, copied(v))
+			views, snapshots = append(views, v), append(snapshots, copied(v))
 			ready, size := 0, 0
 			for _, service := range []string{"web", "llm"} {
-				for _, e := range then[step][service] {
+				for _, e := range snapshots[step][service] {
 					size++
 					if e.State == directory.Ready {
 						ready++
@@ -161,27 +162,27 @@
 						rt.Fatalf("%s of zone %s has state %v", e.ID, e.Zone, e.State)
 					}
 				}
-				inZones := slices.Concat(then[step][service+"/a"], then[step][service+"/b"])
-				if !slices.Equal(inZones, then[step][service]) {
-					rt.Fatalf("zones tell %v, the service %v", inZones, then[step][service])
+				inZones := slices.Concat(snapshots[step][service+"/a"], snapshots[step][service+"/b"])
+				if !slices.Equal(inZones, snapshots[step][service]) {
+					rt.Fatalf("zones yield %v, the service %v", inZones, snapshots[step][service])
 				}
 			}
 			if v.Ready != ready || v.Size() != size {
-				rt.Fatalf("%d ready of %d, told are %d of %d", ready, size, v.Ready, v.Size())
+				rt.Fatalf("%d ready of %d, the view says %d of %d", ready, size, v.Ready, v.Size())
 			}
 		}
 		for n, v := range views {
 			now := copied(v)
-			for key := range then[n] {
-				if !slices.Equal(now[key], then[n][key]) {
-					rt.Fatalf("view %d told %v and tells %v", n, then[n][key], now[key])
+			for key := range snapshots[n] {
+				if !slices.Equal(now[key], snapshots[n][key]) {
+					rt.Fatalf("view %d had %v and now has %v", n, snapshots[n][key], now[key])
 				}
 			}
 		}
 	})
 }
 
-// BenchmarkChange is one endpoint's changed entry, at fleets of several sizes.
+// BenchmarkChange measures one changed entry in fleets of several sizes.
 func BenchmarkChange(b *testing.B) {
 	for _, endpoints := range []int{100, 1000, 10_000, 20_000} {
 		b.Run(fmt.Sprint(endpoints), func(b *testing.B) {
