--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -14,23 +14,23 @@
 // bound is the time within which changes must be in force in these tests.
 const bound = 2 * time.Second
 
-// A watch that falls silent must not leave an instance behind: on the standard
-// day scale-1 it served a configuration 5 s old, with every renewal answered.
-func TestSilentWatchIsNoticed(t *testing.T) {
+// A stalled watch must not leave an instance behind: one served a configuration 5 s old
+// while every renewal was answered.
+func TestSilentWatchIsDetected(t *testing.T) {
 	tests := []struct {
 		name string
 		rank int
-		hint string // peer that tells of the new revision; empty: the store does
+		hint string // peer that announces the new revision; empty: the store does
 		want freshness.Action
 	}{
-		{"first in rank lists", 0, "", freshness.ListStore},
-		{"told by a peer, asks it", 1, "n1", freshness.PullFromPeer},
+		{"first in rank reads the store", 0, "", freshness.ListStore},
+		{"pulls from the peer that announced it", 1, "n1", freshness.PullFromPeer},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			f := freshness.New(bound)
-			known := int64(28) // the watch tells nothing newer
+			known := int64(28) // the watch returns nothing newer
 			acted := clock.Millis(0)
 			for now := clock.Millis(10_000); now < 14_000 && acted == 0; now += 50 {
 				switch f.Next(now, freshness.LocalState{Revision: known, Rank: test.rank, Watching: true}) {
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestCaughtUpDoesNothingMore(t *testing.T) {
+func TestNothingToDoWhenCaughtUp(t *testing.T) {
 	c := qt.New(t)
 	f := freshness.New(bound)
 	f.Observe(1000, 31, 7, "n1")
@@ -58,43 +58,43 @@
 	c.Assert(f.Next(1750, watching(31, 0)), qt.Equals, freshness.CheckStore)
 }
 
-// Only the first in rank asks while it can be heard.
-func TestOneAsksForTheZone(t *testing.T) {
+// Only the first in rank checks the store while it can be received.
+func TestOneInstanceChecksForZone(t *testing.T) {
 	c := qt.New(t)
 	first, second := freshness.New(bound), freshness.New(bound)
-	asked := [2]int{}
+	checks := [2]int{}
 	for now := clock.Millis(10_000); now < 20_000; now += 50 {
 		if first.Next(now, watching(5, 0)) == freshness.CheckStore {
-			asked[0]++
+			checks[0]++
 			first.Observe(now, 5, 0, "")
 			second.Observe(now+1, 5, 0, "first")
 		}
 		if second.Next(now, watching(5, 1)) == freshness.CheckStore {
-			asked[1]++
+			checks[1]++
 		}
 	}
-	c.Assert(asked[0] > 10, qt.IsTrue)
-	c.Assert(asked[1], qt.Equals, 0) // also at its own start, when it has read everything
+	c.Assert(checks[0] > 10, qt.IsTrue)
+	c.Assert(checks[1], qt.Equals, 0) // nor at its own start, when it has read everything
 }
 
 func watching(revision int64, rank int) freshness.LocalState {
 	return freshness.LocalState{Revision: revision, Rank: rank, Watching: true}
 }
 
-// An instance that does not watch asks as soon as it hears of something new,
-// or of other beliefs at the same revision, as when a peer gave up waiting
-// for an endpoint that the store no longer lists.
-func TestFollowers(t *testing.T) {
+// An instance that does not watch sends a request as soon as it learns of a new revision or
+// of a different view at the same revision, as when a peer has removed an endpoint that the
+// store no longer lists.
+func TestNonWatchers(t *testing.T) {
 	tests := []struct {
 		name  string
 		known freshness.LocalState
 		want  freshness.Action
 	}{
 		{"behind", freshness.LocalState{Revision: 30, Digest: 7}, freshness.PullFromPeer},
-		{"believes otherwise", freshness.LocalState{Revision: 31, Digest: 8}, freshness.PullFromPeer},
-		{"the same", freshness.LocalState{Revision: 31, Digest: 7}, freshness.Nothing},
+		{"different view", freshness.LocalState{Revision: 31, Digest: 8}, freshness.PullFromPeer},
+		{"the same view", freshness.LocalState{Revision: 31, Digest: 7}, freshness.Nothing},
 		{"newer", freshness.LocalState{Revision: 32, Digest: 8}, freshness.Nothing},
-		{"watches, believes otherwise", freshness.LocalState{Revision: 31, Digest: 8, Watching: true}, freshness.Nothing},
+		{"watches, different view", freshness.LocalState{Revision: 31, Digest: 8, Watching: true}, freshness.Nothing},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -105,9 +105,9 @@
 	}
 }
 
-// A peer that does not answer, because it does not know this instance yet,
-// is not asked for ever (grown unions, scale-1: a zone knew no endpoint).
-func TestSilentPeerIsGivenUp(t *testing.T) {
+// A peer that does not answer, because it does not know this instance yet, must not be
+// tried forever: a zone knew no endpoint because of this.
+func TestUnresponsivePeerIsAbandoned(t *testing.T) {
 	c := qt.New(t)
 	f := freshness.New(bound)
 	f.Observe(1000, 31, 7, "n1")
@@ -119,14 +119,14 @@
 	c.Assert(counts[freshness.ListStore], qt.Equals, 1)
 }
 
-// While changes go on, an instance is always a little behind. As long as peers
-// answer, the store is not asked (grown couriers: a hundred listings at each
-// start of the fleet, a call's price each).
-func TestSteadyChangesAreToldByPeers(t *testing.T) {
+// While changes go on, an instance is always a little behind. As long as peers answer, the
+// store is not read: that cost a hundred listings at each start of a fleet, each priced as
+// a call.
+func TestSteadyChangesComeFromPeers(t *testing.T) {
 	c := qt.New(t)
 	f := freshness.New(bound)
 	known, newest := int64(30), int64(30)
-	asked := 0
+	pulls := 0
 	for now := clock.Millis(1000); now < 6000; now += 50 {
 		if now%100 == 0 {
 			newest++
@@ -134,33 +134,34 @@
 		}
 		switch f.Next(now, freshness.LocalState{Revision: known, Rank: 5}) {
 		case freshness.PullFromPeer:
-			asked++
-			known = newest - 1 // the answer was overtaken by the next change
+			pulls++
+			known = newest - 1 // the response was overtaken by the next change
 		case freshness.ListStore, freshness.CheckStore:
-			t.Fatalf("the store was asked at %d", now)
+			t.Fatalf("the store was read at %d", now)
 		case freshness.Nothing:
 		}
 	}
-	c.Assert(asked > 10, qt.IsTrue)
+	c.Assert(pulls > 10, qt.IsTrue)
 }
 
-// However many are before it, an instance that hears nothing asks in time.
-func TestLastInRankAsksInTime(t *testing.T) {
+// The last in rank also checks the store in time if it receives nothing.
+func TestLastInRankChecksInTime(t *testing.T) {
 	c := qt.New(t)
 	f := freshness.New(bound)
 	f.Observe(1000, 31, 7, "n1")
-	asked := clock.Millis(0)
-	for now := clock.Millis(1000); now < 5000 && asked == 0; now += 50 {
+	checkedAt := clock.Millis(0)
+	for now := clock.Millis(1000); now < 5000 && checkedAt == 0; now += 50 {
 		if f.Next(now, freshness.LocalState{Revision: 31, Digest: 7, Rank: 20}) == freshness.CheckStore {
-			asked = now
+			checkedAt = now
 		}
 	}
-	c.Assert(asked > 0 && asked <= 2400, qt.IsTrue, qt.Commentf("asked at %d", asked))
+	c.Assert(checkedAt > 0 && checkedAt <= 2400, qt.IsTrue, qt.Commentf("checked at %d", checkedAt))
 }
 
-// Where those who watch have fallen silent, the instances of a large zone do not ask all at
-// once: whoever asks tells the others, and a turn later twice as many have asked at most.
-func TestCrowdDoesNotAskAtOnce(t *testing.T) {
+// When the watchers have stalled, the instances of a large zone must not all check the
+// store at once: the first that checks informs the others, and only a few may have checked
+// by then.
+func TestLargeZoneDoesNotCheckAtOnce(t *testing.T) {
 	for _, zone := range []int{20, 200, 2000} {
 		c := qt.New(t)
 		const tick, answer = 50, 20 // ms
@@ -169,22 +170,22 @@
 			all[n] = freshness.New(bound)
 			all[n].Observe(1000, 31, 7, "n1")
 		}
-		asked, told := 0, clock.Millis(0)
-		for now := clock.Millis(1000); now < 5000 && (told == 0 || now < told); now += tick {
+		checks, answeredAt := 0, clock.Millis(0)
+		for now := clock.Millis(1000); now < 5000 && (answeredAt == 0 || now < answeredAt); now += tick {
 			for rank := 2; rank < zone; rank++ {
 				if all[rank].Next(now, freshness.LocalState{Revision: 31, Digest: 7, Rank: rank, ZoneSize: zone}) != freshness.CheckStore {
 					continue
 				}
-				asked++
-				told = now + answer
+				checks++
+				answeredAt = now + answer
 			}
 		}
-		c.Check(asked > 0 && asked <= 3, qt.IsTrue, qt.Commentf("%d of %d asked", asked, zone))
+		c.Check(checks > 0 && checks <= 3, qt.IsTrue, qt.Commentf("%d of %d checked", checks, zone))
 	}
 }
 
-// Whole views take the same part of a link whatever the number of endpoints.
-func TestLargeViewsAreAskedForSeldom(t *testing.T) {
+// Complete views take the same share of a link at any number of endpoints.
+func TestFullViewPauseGrowsWithEndpoints(t *testing.T) {
 	tests := []struct {
 		endpoints int
 		pause     time.Duration
@@ -202,11 +203,11 @@
 	}
 }
 
-// A peer that doubted a removal passed its revision on without it; the next
-// one tells only what came later. The beliefs then differ at the same revision,
-// and everything is asked for, once a second at the most (grown unions,
-// trouble-1 820858619590: a leaving endpoint got work for up to nine seconds).
-func TestDifferentBeliefsAfterTaking(t *testing.T) {
+// A peer that doubted a removal passed its revision on without the removal, and the next
+// response has only later changes. The views then differ at the same revision, and
+// everything is requested, at most once a second. Without this, a leaving endpoint got
+// requests for up to nine seconds.
+func TestNeedsFullView(t *testing.T) {
 	tests := []struct {
 		name     string
 		now      clock.Millis
@@ -214,11 +215,11 @@
 		digest   uint64
 		want     bool
 	}{
-		{"the same", 1000, 30, 7, false},
-		{"another revision by now", 1000, 29, 8, false},
+		{"the same view", 1000, 30, 7, false},
+		{"another revision", 1000, 29, 8, false},
 		{"different", 2000, 30, 8, true},
-		{"asked a moment ago", 2500, 30, 8, false},
-		{"asked a while ago", 3000, 30, 8, true},
+		{"requested just before", 2500, 30, 8, false},
+		{"requested a second ago", 3000, 30, 8, true},
 	}
 	f := freshness.New(bound)
 	for _, test := range tests {
@@ -227,12 +228,12 @@
 	}
 }
 
-// How often the store is asked follows from how soon changes must be in force: a
-// deployment that allows 4 s asks half as often as one that allows 2 s.
-func TestChecksFollowTheBound(t *testing.T) {
+// How often the store is checked follows from how soon changes must be in force: a
+// deployment that allows 4 s checks half as often as one that allows 2 s.
+func TestCheckIntervalFollowsBound(t *testing.T) {
 	tests := []struct {
-		bound time.Duration
-		asked int // within 28 s, nothing else being heard
+		bound  time.Duration
+		checks int // within 28 s, if nothing else is received
 	}{
 		{2 * time.Second, 40},
 		{3 * time.Second, 26},
@@ -241,14 +242,14 @@
 	for _, test := range tests {
 		t.Run(test.bound.String(), func(t *testing.T) {
 			f := freshness.New(test.bound)
-			asked := 0
+			checks := 0
 			for now := clock.Millis(50); now <= 28_050; now += 50 {
 				if f.Next(now, watching(5, 0)) == freshness.CheckStore {
-					asked++
+					checks++
 					f.Observe(now, 5, 0, "")
 				}
 			}
-			qt.Assert(t, asked, qt.Equals, test.asked)
+			qt.Assert(t, checks, qt.Equals, test.checks)
 		})
 	}
 }
