--- a/internal/roster/member.go
+++ b/internal/roster/member.go
@@ -9,91 +9,92 @@
 	"github.com/trailshed/trailshed/internal/eventlog"
 )
 
-// ErrLapsed says that a lease is over.
+// ErrLapsed says that a lease has expired.
 var ErrLapsed = errors.New("lease has lapsed")
 
-// Registry writes entries of instances.
+// Registry writes the entries of instances to the store.
 type Registry struct {
 	// Grant opens a lease.
-	Grant func(ctx context.Context, life time.Duration) (int64, error)
-	// Renew keeps a lease; ErrLapsed says that it is over.
+	Grant func(ctx context.Context, x time.Duration) (int64, error)
+	// Renew extends a lease; ErrLapsed says that it has expired.
 	Renew func(ctx context.Context, lease int64) error
-	// Put writes an instance's entry, which goes with the lease.
+	// Put writes an instance's entry, which is removed with the lease.
 	Put func(ctx context.Context, i Instance, lease int64) error
 }
 
 const (
-	// leaseLife is how long an entry outlives its instance.
-	leaseLife = 6 * time.Second
-	// renewEvery is how often an instance that watches the store renews its lease,
-	// and any other after a call that failed: a renewal tells soon that the store
-	// is out of reach, as a watch that waits does not. The others renew at each
-	// second turn, which leaves them two tries more before the entry lapses: all
-	// instances together make most of the calls to the store.
-	renewEvery = time.Second
+	// leaseTTL is how long an entry outlives its instance.
+	leaseTTL = 6 * time.Second
+	// renewInterval is how often an instance that watches the store renews its lease, and
+	// any other after a call that failed: a renewal soon shows that the store is out of
+	// reach, as a waiting watch does not. The others renew at every second interval, which
+	// leaves them two more attempts before the entry lapses: the renewals of all instances
+	// are most of the calls to the store.
+	renewInterval = time.Second
 )
 
-// Member keeps this instance's own entry.
+// Member keeps this instance's own entry in the store.
 type Member struct {
 	Registry Registry
 	Self     Instance
 	Log      *eventlog.Log
-	// Reached is told of each call's outcome; nil: the store answered.
-	Reached func(error)
-	// Watching says whether this instance watches the store.
+	// OnCall is called with the outcome of each call; nil: the store answered.
+	OnCall func(error)
+	// Watching reports whether this instance watches the store.
 	Watching func() bool
 
-	changed    chan Instance
-	lease      int64
-	written    bool // the entry, as it is now, is in the store
-	failed     bool // the last call did
-	registered atomic.Bool
+	changes      chan Instance
+	lease        int64
+	entryWritten bool // the store has the current entry
+	callFailed   bool // the last call failed
+	registered   atomic.Bool
 }
 
 // NewMember returns a member that has no entry yet.
-func NewMember(r Registry, self Instance, log *eventlog.Log, reached func(error), watching func() bool) *Member {
-	return &Member{Registry: r, Self: self, Log: log, Reached: reached, Watching: watching, changed: make(chan Instance, 4)}
+func NewMember(r Registry, self Instance, log *eventlog.Log, onCall func(error), watching func() bool) *Member {
+	return &Member{Registry: r, Self: self, Log: log, OnCall: onCall, Watching: watching, changes: make(chan Instance, 4)}
 }
 
-// Registered says whether the entry has ever been in the store, from which peers know it.
+// Registered reports whether the store has ever had the entry, from which peers know this
+// instance.
 func (m *Member) Registered() bool { return m.registered.Load() }
 
-// Change writes the entry anew, as when the instance begins to leave, or when
-// its entry was found missing.
+// Change writes the entry again, as when the instance starts to leave, or when its entry
+// was found missing.
 func (m *Member) Change(self Instance) {
 	select {
-	case m.changed <- self:
-	default: // changes wait already; the last one says leaving at the latest
+	case m.changes <- self:
+	default: // changes are pending already; the last of them has the leaving state at the latest
 	}
 }
 
 // Run keeps the entry until ctx ends.
 func (m *Member) Run(ctx context.Context) {
-	tick := time.NewTicker(renewEvery)
+	tick := time.NewTicker(renewInterval)
 	defer tick.Stop()
 	m.register(ctx)
-	rested := false // at the last turn
+	skipped := false // at the last interval
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case self := <-m.changed:
+		case self := <-m.changes:
 			m.Self = self
 			m.register(ctx)
 		case <-tick.C:
-			rested = !rested && m.mayRest()
-			if !rested {
+			skipped = !skipped && m.maySkipRenewal()
+			if !skipped {
 				m.renew(ctx)
 			}
 		}
 	}
 }
 
-// mayRest says whether a renewal may wait for the next turn.
-func (m *Member) mayRest() bool { return m.written && !m.failed && !m.Watching() }
+// maySkipRenewal reports whether a renewal may wait for the next interval.
+func (m *Member) maySkipRenewal() bool { return m.entryWritten && !m.callFailed && !m.Watching() }
 
 func (m *Member) renew(ctx context.Context) {
-	if m.lease == 0 || !m.written {
+	if m.lease == 0 || !m.entryWritten {
 		m.register(ctx)
 		return
 	}
@@ -103,8 +104,8 @@
 		m.register(ctx)
 		return
 	}
-	m.failed = err != nil
-	m.Reached(err)
+	m.callFailed = err != nil
+	m.OnCall(err)
 }
 
 func (m *Member) register(ctx context.Context) {
@@ -113,9 +114,9 @@
 		m.lease = 0
 		err = m.put(ctx)
 	}
-	m.Reached(err)
-	m.written = err == nil
-	if m.written {
+	m.OnCall(err)
+	m.entryWritten = err == nil
+	if m.entryWritten {
 		m.registered.Store(true)
 	}
 	if err != nil {
@@ -127,7 +128,7 @@
 
 func (m *Member) put(ctx context.Context) error {
 	if m.lease == 0 {
-		lease, err := m.Registry.Grant(ctx, leaseLife)
+		lease, err := m.Registry.Grant(ctx, leaseTTL)
 		if err != nil {
 			return err
 		}
--- a/internal/roster/member_test.go
+++ b/internal/roster/member_test.go
@@ -14,17 +14,17 @@
 	"github.com/trailshed/trailshed/internal/roster"
 )
 
-// A fleet's renewals are most of its calls to the store. An instance that does
-// not watch makes half as many, and as many as a watcher while calls fail.
+// Renewals are most of a fleet's calls to the store. An instance that does not watch makes
+// half as many as a watcher, and as many while calls fail.
 func TestRenewals(t *testing.T) {
 	tests := []struct {
 		name     string
 		watching bool
-		renewed  error
+		err      error
 		want     int // calls within 30 s
 	}{
-		{"it watches", true, nil, 30},
-		{"others watch", false, nil, 15},
+		{"the instance watches", true, nil, 30},
+		{"other instances watch", false, nil, 15},
 		{"the store does not answer", false, errors.New("no answer"), 29},
 	}
 	for _, test := range tests {
@@ -33,7 +33,7 @@
 				renewals := 0
 				registry := roster.Registry{
 					Grant: func(context.Context, time.Duration) (int64, error) { return 1, nil },
-					Renew: func(context.Context, int64) error { renewals++; return test.renewed },
+					Renew: func(context.Context, int64) error { renewals++; return test.err },
 					Put:   func(context.Context, roster.Instance, int64) error { return nil },
 				}
 				log := eventlog.Open(io.Discard, "n1")
--- a/internal/roster/order.go
+++ b/internal/roster/order.go
@@ -9,36 +9,36 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// orders are the instances as they are asked for, made once for each change. Others read
-// them some hundred times a second, and to sort a thousand instances takes a millisecond.
-// The lists are shared and not to be changed.
-type orders struct {
-	until  clock.Millis // the next instance takes up its work then; 0: nobody is joining
-	all    []Instance   // by name
-	zones  []string
-	places map[role]ranked
+// orderings holds the instances in the orders in which they are read, computed once for
+// each change. They are read some hundred times a second, and sorting a thousand instances
+// takes a millisecond. The lists are shared and must not be modified.
+type orderings struct {
+	validUntil clock.Millis // when the next joining instance may take roles; 0: none is joining
+	all        []Instance   // by name
+	zones      []string
+	rankings   map[role]ranking
 }
 
 // role is a role in a zone.
 type role struct{ zone, key string }
 
-// ranked is a zone's instances in the order for a role.
-type ranked struct {
-	list   []Instance
-	places map[string]int // by name
+// ranking holds a zone's instances in the order for a role.
+type ranking struct {
+	list  []Instance
+	ranks map[string]int // by name
 }
 
-// orders returns those of now. The caller holds the lock for writing.
-func (r *Roster) orders() *orders {
+// orderings returns the current orderings. The caller holds the lock for writing.
+func (r *Roster) orderings() *orderings {
 	now := r.now()
-	if o := r.present; o != nil && (o.until == 0 || now < o.until) {
+	if o := r.cached; o != nil && (o.validUntil == 0 || now < o.validUntil) {
 		return o
 	}
-	o := &orders{all: make([]Instance, 0, len(r.instances)), places: map[role]ranked{}}
+	o := &orderings{all: make([]Instance, 0, len(r.instances)), rankings: map[role]ranking{}}
 	for _, i := range r.instances {
-		joined := r.known[i.Fingerprint].seen.Add(JoinTime)
-		if i.Joining = now < joined; i.Joining && (o.until == 0 || joined < o.until) {
-			o.until = joined
+		joined := r.identities[i.Fingerprint].firstSeen.Add(JoinTime)
+		if i.Joining = now < joined; i.Joining && (o.validUntil == 0 || joined < o.validUntil) {
+			o.validUntil = joined
 		}
 		o.all = append(o.all, i)
 	}
@@ -48,40 +48,40 @@
 			o.zones = slices.Insert(o.zones, at, i.Zone)
 		}
 	}
-	r.present = o
+	r.cached = o
 	return o
 }
 
-// ranked returns a zone's order for a role.
-func (o *orders) ranked(zone, key string) ranked {
+// ranking returns a zone's order for a role.
+func (o *orderings) ranking(zone, key string) ranking {
 	k := role{zone, key}
-	if known, ok := o.places[k]; ok {
+	if known, ok := o.rankings[k]; ok {
 		return known
 	}
-	var list []weighed
+	var list []weightedInstance
 	for _, i := range o.all {
 		if i.Zone == zone {
-			list = append(list, weighed{i, xxhash.Sum64String(key + "\x00" + i.Name)})
+			list = append(list, weightedInstance{i, xxhash.Sum64String(key + "\x00" + i.Name)})
 		}
 	}
-	slices.SortFunc(list, compare)
-	made := ranked{list: make([]Instance, len(list)), places: make(map[string]int, len(list))}
+	slices.SortFunc(list, compareRank)
+	built := ranking{list: make([]Instance, len(list)), ranks: make(map[string]int, len(list))}
 	for n, w := range list {
-		made.list[n] = w.Instance
-		made.places[w.Name] = n
+		built.list[n] = w.Instance
+		built.ranks[w.Name] = n
 	}
-	o.places[k] = made
-	return made
+	o.rankings[k] = built
+	return built
 }
 
-// weighed is an instance with its weight for a role.
-type weighed struct {
+// weightedInstance is an instance with its weight for a role.
+type weightedInstance struct {
 	Instance
 	weight uint64
 }
 
-// compare orders instances as Ranked does.
-func compare(a, b weighed) int {
+// compareRank orders instances as Ranked does.
+func compareRank(a, b weightedInstance) int {
 	return cmp.Or(
 		cmp.Compare(a.readiness(), b.readiness()),
 		cmp.Compare(b.Capacity, a.Capacity),
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -1,6 +1,6 @@
-// Package roster knows this instance's peers: who they are, where they listen
-// and by which certificate they are recognised. Entries come from the
-// platform's store, each kept there by its instance's lease.
+// Package roster keeps the instances of this system: their names, the addresses they listen
+// on and the certificates that identify them. Entries come from the platform's store, where
+// each is kept by its instance's lease.
 package roster
 
 import (
@@ -13,9 +13,8 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// Instance is one peer, or this instance itself. In the store it is JSON,
-// beside which the store keeps the revision; between instances it is CBOR, which
-// must name the revision too.
+// Instance is one peer, or this instance itself. In the store it is JSON, and the store
+// keeps the revision beside it; between instances it is CBOR, which includes the revision.
 type Instance struct {
 	Name        string         `cbor:"1,keyasint" json:"name"`
 	Zone        string         `cbor:"2,keyasint" json:"zone"`
@@ -24,19 +23,19 @@
 	Capacity    float64        `cbor:"5,keyasint,omitempty" json:"capacity,omitempty"` // of its processor, in cores
 	Leaving     bool           `cbor:"6,keyasint,omitempty" json:"leaving,omitempty"`
 	Revision    int64          `cbor:"8,keyasint" json:"-"` // of the store
-	Joining     bool           `cbor:"-" json:"-"`          // first seen a moment ago: it takes no role yet
+	Joining     bool           `cbor:"-" json:"-"`          // first seen less than JoinTime ago: it takes no role yet
 }
 
-// Departure says that an instance's entry was removed at a revision. Entries may be
-// there again by a later one, told in the same breath.
+// Departure says that an instance's entry was removed at a revision. The entry may exist
+// again at a later revision, even in the same response.
 type Departure struct {
 	Name     string `cbor:"1,keyasint"`
 	Revision int64  `cbor:"2,keyasint"` // of the store
 }
 
-// JoinTime is how long after it was first seen an instance takes no role: by
-// then those that hold places have told it what they hold. Each peer estimates
-// it for itself, since a second entry would wake everybody who watches.
+// JoinTime is how long after it was first seen an instance takes no role: by then the
+// instances that hold places have told it which ones. Each peer measures it for itself,
+// since a second entry would wake all watchers.
 const JoinTime = 1200 * time.Millisecond
 
 // readiness orders instances by whether they should take a role.
@@ -53,27 +52,27 @@
 
 // Roster is the table of instances. It is safe for concurrent use.
 type Roster struct {
-	now       func() clock.Millis
-	mu        sync.Mutex
-	instances map[string]Instance
-	present   *orders             // of instances; nil: to be made anew
-	known     map[string]identity // by fingerprint; all instances ever seen
-	gone      map[string]int64    // name: revision of its removal
-	most      int
+	now        func() clock.Millis
+	mu         sync.Mutex
+	instances  map[string]Instance
+	cached     *orderings          // of instances; nil: to be computed again
+	identities map[string]identity // by fingerprint, of all instances ever seen
+	removedAt  map[string]int64    // by name: revision of its removal
+	maxSize    int
 }
 
-// identity is one life of an instance.
+// identity is one incarnation of an instance.
 type identity struct {
-	name string
-	seen clock.Millis // first
+	name      string
+	firstSeen clock.Millis
 }
 
 // New returns an empty roster.
 func New(now func() clock.Millis) *Roster {
-	return &Roster{now: now, instances: map[string]Instance{}, known: map[string]identity{}, gone: map[string]int64{}}
+	return &Roster{now: now, instances: map[string]Instance{}, identities: map[string]identity{}, removedAt: map[string]int64{}}
 }
 
-// See takes an instance's entry and says whether it is news.
+// See applies an instance's entry and reports whether it changed anything.
 func (r *Roster) See(i Instance) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -81,22 +80,22 @@
 	if known && i.Revision <= before.Revision {
 		return false
 	}
-	if at, gone := r.gone[i.Name]; gone && i.Revision <= at {
+	if at, gone := r.removedAt[i.Name]; gone && i.Revision <= at {
 		return false
 	}
-	delete(r.gone, i.Name)
+	delete(r.removedAt, i.Name)
 	r.instances[i.Name] = i
-	r.present = nil
-	if _, met := r.known[i.Fingerprint]; !met {
-		r.known[i.Fingerprint] = identity{name: i.Name, seen: r.now()}
+	r.cached = nil
+	if _, met := r.identities[i.Fingerprint]; !met {
+		r.identities[i.Fingerprint] = identity{name: i.Name, firstSeen: r.now()}
 	}
-	r.most = max(r.most, len(r.instances))
+	r.maxSize = max(r.maxSize, len(r.instances))
 	before.Revision = i.Revision
 	return !known || before != i
 }
 
-// Remove takes the news that an instance's entry is gone. Its certificate stays
-// trusted: it may only have lost its lease. Remove says whether it is news.
+// Remove applies the removal of an instance's entry and reports whether it changed
+// anything. The certificate stays trusted: the instance may only have lost its lease.
 func (r *Roster) Remove(d Departure) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -105,12 +104,12 @@
 		return false
 	}
 	delete(r.instances, d.Name)
-	r.present = nil
-	r.gone[d.Name] = d.Revision
+	r.cached = nil
+	r.removedAt[d.Name] = d.Revision
 	return true
 }
 
-// Since returns the instances seen, and those gone, after a revision.
+// Since returns the instances that were seen or removed after a revision.
 func (r *Roster) Since(revision int64) (seen []Instance, gone []Departure) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -119,7 +118,7 @@
 			seen = append(seen, i)
 		}
 	}
-	for name, at := range r.gone {
+	for name, at := range r.removedAt {
 		if at > revision {
 			gone = append(gone, Departure{Name: name, Revision: at})
 		}
@@ -127,8 +126,8 @@
 	return seen, gone
 }
 
-// Missing returns the known instances that a listing lacks, which is complete up to
-// a revision.
+// Missing returns a removal for each known instance that is not in a complete listing at a
+// revision.
 func (r *Roster) Missing(all []Instance, revision int64) []Departure {
 	present := map[string]bool{}
 	for _, i := range all {
@@ -147,22 +146,22 @@
 func (r *Roster) Trusted(fingerprint string) (string, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	id, ok := r.known[fingerprint]
+	id, ok := r.identities[fingerprint]
 	return id.name, ok
 }
 
-// All returns the instances in the order of their names. The list is not to be changed.
+// All returns the instances in the order of their names. The list must not be modified.
 func (r *Roster) All() []Instance {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.orders().all
+	return r.orderings().all
 }
 
 // Find returns the instance called name.
 func (r *Roster) Find(name string) (i Instance, known bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	all := r.orders().all
+	all := r.orderings().all
 	at, known := slices.BinarySearchFunc(all, name, func(i Instance, name string) int { return cmp.Compare(i.Name, name) })
 	if !known {
 		return Instance{}, false
@@ -170,23 +169,23 @@
 	return all[at], true
 }
 
-// Size is the number of instances.
+// Size returns the number of instances.
 func (r *Roster) Size() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.instances)
 }
 
-// Zones returns the zones that have instances, in the order of their names. The list is
-// not to be changed.
+// Zones returns the zones that have instances, in the order of their names. The list must
+// not be modified.
 func (r *Roster) Zones() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.orders().zones
+	return r.orderings().zones
 }
 
 // FirstOfOthers returns the first n instances, in the order for a role, of each zone but
-// one.
+// the given one.
 func (r *Roster) FirstOfOthers(zone, key string, n int) []Instance {
 	var list []Instance
 	for _, z := range r.Zones() {
@@ -198,29 +197,27 @@
 	return list
 }
 
-// Most is the largest number of instances seen at once.
+// Most returns the largest number of instances known at one time.
 func (r *Roster) Most() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.most
+	return r.maxSize
 }
 
-// Rank returns the place, from 0, of the instance called name in a zone's order
-// for a role.
+// Rank returns the rank, from 0, of the instance called name in a zone's order for a role.
 func (r *Roster) Rank(zone, key, name string) (place int, known bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	place, known = r.orders().ranked(zone, key).places[name]
+	place, known = r.orderings().ranking(zone, key).ranks[name]
 	return place, known
 }
 
-// Ranked returns a zone's instances in the order in which they take the role
-// called key: the strongest first, because a role's work comes on top of the
-// requests that all have alike, then in rendezvous order. Those that have just
-// started come after these, and those that are leaving last. The list is not to be
-// changed.
+// Ranked returns a zone's instances in the order in which they take the role called key:
+// those with the highest capacity first, because a role's work comes on top of the requests
+// that all instances share equally, then in rendezvous order. Those that have just started
+// come after these, and those that are leaving last. The list must not be modified.
 func (r *Roster) Ranked(zone, key string) []Instance {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.orders().ranked(zone, key).list
+	return r.orderings().ranking(zone, key).list
 }
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -12,15 +12,15 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// atStart is the time of tests in which it does not pass.
-func atStart() clock.Millis { return 0 }
+// zeroTime is the clock of tests in which time does not pass.
+func zeroTime() clock.Millis { return 0 }
 
 func instance(name string, revision int64) roster.Instance {
 	return roster.Instance{Name: name, Zone: "a", Fingerprint: "f-" + name, Revision: revision}
 }
 
-// A role never goes to an instance that has just started or is about to leave,
-// while another is left; among the others it stays where it is.
+// A role never goes to an instance that has just started or is leaving while there is
+// another; otherwise it stays where it is.
 func TestRanked(t *testing.T) {
 	now := clock.Millis(0)
 	r := roster.New(func() clock.Millis { return now })
@@ -53,8 +53,8 @@
 	qt.Assert(t, r.Ranked("b", "planner"), qt.HasLen, 0)
 }
 
-// Each peer estimates for itself how long one that started is new; an entry
-// that lapsed and is back does not make it new again.
+// Each peer measures for itself how long a started instance counts as joining. An entry
+// that lapsed and exists again does not make it join again.
 func TestJoining(t *testing.T) {
 	c := qt.New(t)
 	now := clock.Millis(5000)
@@ -72,11 +72,11 @@
 	c.Assert(r.All()[0].Joining, qt.IsTrue)
 }
 
-// On a fleet of unequal machines the first planner by chance had a fifth of a
-// core and fell silent at the peaks (grown couriers, quiet-1, 18 to 22 s).
-func TestStrongestTakeRolesFirst(t *testing.T) {
+// In a fleet of unequal machines the first planner by weight alone had a fifth of a core,
+// and did not answer for 18 to 22 s at peak load.
+func TestRankedByCapacity(t *testing.T) {
 	c := qt.New(t)
-	r := roster.New(atStart)
+	r := roster.New(zeroTime)
 	for i := range 12 {
 		capacity := 0.192
 		if i%4 == 0 {
@@ -94,9 +94,9 @@
 	}
 }
 
-func TestOldWordChangesNothing(t *testing.T) {
+func TestOldEntriesChangeNothing(t *testing.T) {
 	c := qt.New(t)
-	r := roster.New(atStart)
+	r := roster.New(zeroTime)
 	c.Assert(r.See(instance("n1", 5)), qt.IsTrue)
 	c.Assert(r.See(instance("n1", 5)), qt.IsFalse)
 	c.Assert(r.See(instance("n1", 4)), qt.IsFalse)
@@ -104,16 +104,16 @@
 	c.Assert(r.Missing(nil, 9), qt.DeepEquals, []roster.Departure{{Name: "n1", Revision: 9}})
 	c.Assert(r.Remove(roster.Departure{Name: "n1", Revision: 6}), qt.IsTrue)
 	c.Assert(r.All(), qt.HasLen, 0)
-	// It may have lost its lease only, so it is still recognised.
+	// The instance may only have lost its lease, so its certificate is still trusted.
 	name, ok := r.Trusted("f-n1")
 	c.Assert(name, qt.Equals, "n1")
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(r.Most(), qt.Equals, 1)
 }
 
-// Peers that do not watch the store learn of a restart, which brings a new
-// certificate, only from entries that are passed on: these keep the revision.
-func TestEntriesArePassedOnWhole(t *testing.T) {
+// Peers that do not watch the store learn of a restart, which brings a new certificate,
+// only from entries that other peers send: these must keep the revision.
+func TestEncodedInstance(t *testing.T) {
 	c := qt.New(t)
 	before := roster.Instance{
 		Name: "n1", Zone: "a", Address: netip.MustParseAddrPort("127.0.0.1:9000"), Fingerprint: "f-n1",
@@ -126,22 +126,23 @@
 	c.Assert(after == before, qt.IsTrue, qt.Commentf("%+v", after))
 }
 
-// A peer that missed a removal still tells of the entry that is gone.
-func TestEntryThatIsGoneStaysGone(t *testing.T) {
+// A peer that missed a removal still sends the removed entry.
+func TestOldEntryDoesNotRestoreInstance(t *testing.T) {
 	c := qt.New(t)
-	r := roster.New(atStart)
+	r := roster.New(zeroTime)
 	r.See(instance("n1", 5))
 	r.Remove(roster.Departure{Name: "n1", Revision: 8})
 	c.Assert(r.See(instance("n1", 5)), qt.IsFalse)
 	c.Assert(r.All(), qt.HasLen, 0)
-	c.Assert(r.See(instance("n1", 9)), qt.IsTrue) // it is back
+	c.Assert(r.See(instance("n1", 9)), qt.IsTrue) // it exists again
 	c.Assert(r.All(), qt.HasLen, 1)
 }
 
-// Of each other zone come the first by the order for the role, and as many as it has.
+// Of each other zone the result has the first instances in the order for the role, or all
+// it has.
 func TestFirstOfOthers(t *testing.T) {
 	c := qt.New(t)
-	r := roster.New(atStart)
+	r := roster.New(zeroTime)
 	for n, zone := range []string{"a", "b", "b", "b", "c"} {
 		i := instance(fmt.Sprint("n", n), int64(n+1))
 		i.Zone = zone
@@ -156,9 +157,9 @@
 	}
 }
 
-// Who is first for a role is asked some hundred times a second, at fleets of any size:
-// between two changes an answer costs nothing.
-func TestOrdersAreMadeOnce(t *testing.T) {
+// Orderings are read some hundred times a second in fleets of any size: between two changes
+// a read must not allocate.
+func TestOrderingsAreCached(t *testing.T) {
 	c := qt.New(t)
 	now := clock.Millis(0)
 	r := roster.New(func() clock.Millis { return now })
@@ -167,15 +168,15 @@
 		r.See(instance(fmt.Sprintf("n%04d", n), int64(n+1)))
 	}
 	now = now.Add(roster.JoinTime)
-	ask := func() {
+	query := func() {
 		r.Find("n0500")
 		r.Rank("a", "planner", "n0500")
 		r.Ranked("a", "planner")
 		r.All()
 		r.Zones()
 	}
-	ask()
-	c.Assert(testing.AllocsPerRun(100, ask), qt.Equals, 0.0)
+	query()
+	c.Assert(testing.AllocsPerRun(100, query), qt.Equals, 0.0)
 	first := r.Ranked("a", "planner")[0]
 	c.Assert(r.Remove(roster.Departure{Name: first.Name, Revision: instances}), qt.IsTrue)
 	c.Assert(r.Ranked("a", "planner"), qt.HasLen, instances-1)
@@ -185,7 +186,7 @@
 
 func TestFind(t *testing.T) {
 	c := qt.New(t)
-	r := roster.New(atStart)
+	r := roster.New(zeroTime)
 	for n, name := range []string{"n2", "n1", "n3"} {
 		r.See(instance(name, int64(n+1)))
 	}
