--- a/internal/residency/residency_test.go
+++ b/internal/residency/residency_test.go
@@ -20,7 +20,7 @@
 func TestAllows(t *testing.T) {
 	tests := []struct {
 		name      string
-		homes     [][]string
+		bindings  [][]string
 		evacuated []string
 		want      []string
 	}{
@@ -42,7 +42,7 @@
 			for _, zone := range test.evacuated {
 				evacuated[zone] = true
 			}
-			area := residency.New(regions, evacuated, test.homes...)
+			area := residency.New(regions, evacuated, test.bindings...)
 			var got []string
 			for _, zone := range []string{"a1", "a2", "b1", "c1", "unknown"} {
 				if area.Allows(zone) {
@@ -54,15 +54,15 @@
 	}
 }
 
-// Whatever zones, routes and workspaces are drawn, an allowed zone is in a region of each
-// party that binds the request, and is not evacuated.
-func TestNothingIsAllowedOutside(t *testing.T) {
+// For any zones, routes and workspaces, an allowed zone is in a region of each party that
+// binds the request, and is not evacuated.
+func TestAllowedZonesSatisfyBindings(t *testing.T) {
 	names := []string{"r0", "r1", "r2", "r3"}
 	rapid.Check(t, func(t *rapid.T) {
 		zones := rapid.MapOf(rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}), rapid.SampledFrom(append(names, ""))).Draw(t, "zones")
 		evacuated := rapid.MapOf(rapid.SampledFrom([]string{"a", "b", "c", "x"}), rapid.Just(true)).Draw(t, "evacuated")
-		homes := rapid.SliceOfN(rapid.SliceOf(rapid.SampledFrom(names)), 0, 3).Draw(t, "homes")
-		given := slices.Clone(homes)
+		bindings := rapid.SliceOfN(rapid.SliceOf(rapid.SampledFrom(names)), 0, 3).Draw(t, "homes")
+		given := slices.Clone(bindings)
 		area := residency.New(zones, evacuated, given...)
 		for _, zone := range []string{"a", "b", "c", "d", "e", "x"} {
 			if !area.Allows(zone) {
@@ -71,9 +71,9 @@
 			if evacuated[zone] {
 				t.Fatalf("%q is evacuated", zone)
 			}
-			for _, home := range homes {
-				if len(home) > 0 && !slices.Contains(home, zones[zone]) {
-					t.Fatalf("%q is in %q, which is none of %q", zone, zones[zone], home)
+			for _, allowed := range bindings {
+				if len(allowed) > 0 && !slices.Contains(allowed, zones[zone]) {
+					t.Fatalf("%q is in %q, which is none of %q", zone, zones[zone], allowed)
 				}
 			}
 		}
--- a/internal/suspension/suspension.go
+++ b/internal/suspension/suspension.go
@@ -1,6 +1,6 @@
-// Package suspension notices that the machine was suspended: timers stand still then
-// with the steady clock, and connections die unseen. What compares moments with the
-// clock needs nothing of it.
+// Package suspension detects that the machine was suspended: timers stop meanwhile with the
+// monotonic clock, and connections die without notice. Code that compares times of package
+// clock does not need it.
 package suspension
 
 import (
@@ -12,23 +12,23 @@
 )
 
 const (
-	// lookEvery is how often the clocks are looked at.
-	lookEvery = 100 * time.Millisecond
-	// least is the shortest suspension that is told of. Callers' waits may be late by
-	// half a second.
-	least = 100 * time.Millisecond
-	// Long is from which length on peers and the store may have given up on
-	// connections: what they sent to keep them alive, each 2 s, was not answered.
+	// pollInterval is how often the clocks are read.
+	pollInterval = 100 * time.Millisecond
+	// minSuspension is the shortest suspension that is reported. Callers' waits may be late
+	// by half a second.
+	minSuspension = 100 * time.Millisecond
+	// Long is the length from which peers and the store may have given up on connections,
+	// since the keep-alives that they send every 2 s were not answered.
 	Long = 2 * time.Second
 )
 
 // Watch calls do after each suspension, with its length, until ctx ends.
 func Watch(ctx context.Context, c *clock.Clock, do func(slept time.Duration)) {
 	seen := c.Slept()
-	ticker.Every(ctx, lookEvery, func() {
-		c.Now() // looks at the clocks
+	ticker.Every(ctx, pollInterval, func() {
+		c.Now() // updates Slept
 		slept := c.Slept()
-		if slept-seen >= least {
+		if slept-seen >= minSuspension {
 			do(slept - seen)
 			seen = slept
 		}
