--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -224,6 +224,7 @@
 	return changes
 }
 
+// applyConfiguration applies a configuration if it is newer than the current one.
 func (d *Directory) applyConfiguration(e Configured) []Change {
 	if d.table != nil && e.Table.Version <= d.table.Version {
 		return nil
@@ -319,6 +320,7 @@
 	return out
 }
 
+// applyEntry applies one endpoint's entry, unless a newer fact is known.
 func (d *Directory) applyEntry(p Endpoint) []Change {
 	if d.removedAt[p.entry()] >= p.Revision {
 		return nil
@@ -358,6 +360,8 @@
 	return []Change{{What: EndpointChanged, Endpoint: p, Revision: p.Revision}}
 }
 
+// applyRemoval applies the removal of an entry. While the store is settling, a ready endpoint
+// is only marked as missing.
 func (d *Directory) applyRemoval(now clock.Millis, e Removed) []Change {
 	h := d.endpoints[e.Entry]
 	if h == nil {
@@ -377,6 +381,7 @@
 	return d.removeEndpoint(h, e.Revision)
 }
 
+// removeEndpoint removes an endpoint and records the removal of its entry.
 func (d *Directory) removeEndpoint(h *record, revision int64) []Change {
 	d.discard(h)
 	d.recordRemoval(Removed{Entry: h.endpoint.entry(), Revision: revision})
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -176,7 +176,7 @@
 			revision = f.Directory.View().Revision
 			continue
 		}
-		news, err := f.read(ctx, t, revision)
+		update, err := f.read(ctx, t, revision)
 		switch {
 		case err != nil && t == taskFollow && f.pending():
 			continue // the watch was cancelled in favour of a read
@@ -193,19 +193,19 @@
 		}
 		retryDelay = initialRetryDelay
 		f.taskDone(t)
-		f.Take(news)
-		f.storeReached(news.Revision)
-		if news.Partial {
+		f.Take(update)
+		f.storeReached(update.Revision)
+		if update.Partial {
 			f.largeAtStart = true
 			f.request(&f.needConfiguration) // the configuration of the stale listing may be out of date
 			f.request(&f.needList)
 		}
-		revision = max(revision, news.Revision, f.Directory.View().Revision)
+		revision = max(revision, update.Revision, f.Directory.View().Revision)
 		f.Told()
 		if t == taskStaleList {
 			continue // the next call reads the changes since that listing
 		}
-		if len(news.Events) < fullBatch {
+		if len(update.Events) < fullBatch {
 			ticker.Sleep(ctx, f.batchPause(f.Now().Sub(start)))
 		}
 	}
@@ -334,6 +334,7 @@
 	}
 }
 
+// logSummary logs many instances on one line.
 func (f *Feed) logSummary(outcome string, names []string, revision int64) {
 	f.Log.Write(eventlog.Line{
 		Event: eventlog.Believed, Outcome: outcome, Count: int64(len(names)), Detail: strings.Join(names, " "), Revision: revision,
@@ -342,9 +343,9 @@
 
 // Roll reads the instances of a zone from the store.
 func (f *Feed) Roll(ctx context.Context, zone string) error {
-	news, err := f.Source.Zone(ctx, zone)
+	update, err := f.Source.Zone(ctx, zone)
 	if err == nil {
-		f.applyInstances(news)
+		f.applyInstances(update)
 	}
 	return err
 }
@@ -398,6 +399,7 @@
 	}
 }
 
+// storeFailed records that a call to the store failed.
 func (f *Feed) storeFailed(err error) {
 	f.Tell(directory.StoreLost{})
 	if f.setLost(true) {
@@ -408,6 +410,7 @@
 	f.Lost()
 }
 
+// storeReached records that the store answered, with everything up to revision applied.
 func (f *Feed) storeReached(revision int64) {
 	f.Tell(directory.StoreReached{Revision: revision})
 	if !f.setLost(false) {
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -41,7 +41,7 @@
 
 var errDown = errors.New("down")
 
-func (s *fakeStore) news(ctx context.Context) (feed.News, error) {
+func (s *fakeStore) read(ctx context.Context) (feed.News, error) {
 	version := s.version.Load()
 	if s.failing.Load() {
 		return feed.News{}, errDown
@@ -65,19 +65,19 @@
 			Most: maxEntries,
 			List: func(ctx context.Context, _ func(int)) (feed.News, error) {
 				s.lists.Add(1)
-				n, err := s.news(ctx)
+				n, err := s.read(ctx)
 				n.Revision, n.Complete = s.version.Load(), true
 				return n, err
 			},
 			Begin: func(ctx context.Context, _ func(feed.News)) (feed.News, error) {
 				s.staleLists.Add(1)
-				n, err := s.news(ctx)
+				n, err := s.read(ctx)
 				n.Revision, n.Complete = s.version.Load(), true
 				return n, err
 			},
 			Configuration: func(ctx context.Context) (feed.News, error) {
 				s.tables.Add(1)
-				return s.news(ctx)
+				return s.read(ctx)
 			},
 			Watch: func(ctx context.Context, revision int64, wait time.Duration) (feed.News, error) {
 				s.watches.Add(1)
@@ -266,11 +266,11 @@
 				Directory: directory.New(), Roster: roster.New(clock.System()), Log: log, Scope: tally.NoopScope,
 				Now: clock.System(), Changed: func() {},
 			})
-			var news feed.News
+			var update feed.News
 			for i := range test.instances {
-				news.Instances = append(news.Instances, roster.Instance{Name: fmt.Sprint("front-", i), Fingerprint: fmt.Sprint(i), Revision: 7})
+				update.Instances = append(update.Instances, roster.Instance{Name: fmt.Sprint("front-", i), Fingerprint: fmt.Sprint(i), Revision: 7})
 			}
-			f.Take(news)
+			f.Take(update)
 			c.Assert(log.Close(), qt.IsNil)
 			text := written.String()
 			c.Assert(strings.Count(text, "front-"), qt.Equals, test.instances)
@@ -316,14 +316,14 @@
 		log := eventlog.Open(&out, "n1")
 		f := feed.New(feed.Options{Directory: directory.New(), Log: log, Now: func() clock.Millis { return 0 }, Scope: tally.NoopScope})
 		var all []directory.Endpoint
-		var news feed.News
+		var update feed.News
 		for n := range test.endpoints {
 			all = append(all, directory.Endpoint{ID: fmt.Sprint("e", n), Service: "web", Zone: "a", Revision: int64(n + 1)})
 		}
 		for _, e := range all {
-			news.Events = append(news.Events, directory.Seen{Endpoint: e})
+			update.Events = append(update.Events, directory.Seen{Endpoint: e})
 		}
-		f.Take(news)
+		f.Take(update)
 		c.Assert(log.Close(), qt.IsNil)
 		c.Assert(strings.Count(out.String(), "endpoint_joined"), qt.Equals, test.lines)
 		c.Assert(test.lines > 1 || strings.Contains(out.String(), `"count":1000`), qt.IsTrue)
@@ -461,15 +461,15 @@
 				<-ctx.Done()
 				return feed.News{}, ctx.Err()
 			}
-			news := feed.News{}
+			update := feed.News{}
 			for n := range part {
 				at := d.View().Size() + n
-				news.Events = append(news.Events, directory.Seen{Endpoint: directory.Endpoint{
+				update.Events = append(update.Events, directory.Seen{Endpoint: directory.Endpoint{
 					ID: fmt.Sprint("e", at), Service: "llm", Zone: "a", Revision: int64(at + 2),
 				}})
-				news.Revision = int64(at + 2)
+				update.Revision = int64(at + 2)
 			}
-			return news, nil
+			return update, nil
 		}
 		start := time.Now()
 		done := make(chan struct{})
--- a/internal/feed/large.go
+++ b/internal/feed/large.go
@@ -16,14 +16,14 @@
 }
 
 // readList reads everything.
-func (f *Feed) readList(ctx context.Context) (news News, err error) {
-	read := func() { news, err = f.Source.List(ctx, f.Progressed) }
+func (f *Feed) readList(ctx context.Context) (update News, err error) {
+	read := func() { update, err = f.Source.List(ctx, f.Progressed) }
 	if f.isLarge() {
 		f.runInBackground(ctx, read)
 	} else {
 		read()
 	}
-	return news, err
+	return update, err
 }
 
 // runInBackground runs work that takes long in a large fleet, and meanwhile reads the
@@ -53,14 +53,14 @@
 	if !wanted {
 		return
 	}
-	news, err := f.Source.Configuration(ctx)
+	update, err := f.Source.Configuration(ctx)
 	if err != nil {
 		f.storeFailed(err)
 		f.taskFailed(taskConfiguration)
 		time.AfterFunc(maxRetryDelay, f.wake)
 		return
 	}
-	f.Take(news)
+	f.Take(update)
 	f.storeReached(0)
 	f.Told()
 }
--- a/internal/feed/task.go
+++ b/internal/feed/task.go
@@ -26,6 +26,7 @@
 	f.cancelWatch = cancel
 }
 
+// pending reports whether anything is to be read.
 func (f *Feed) pending() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -61,6 +62,7 @@
 	}
 }
 
+// taskDone clears the request that a task has fulfilled.
 func (f *Feed) taskDone(t task) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -73,6 +75,7 @@
 	}
 }
 
+// taskFailed restores the request of a failed task if selectTask has cleared it.
 func (f *Feed) taskFailed(t task) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/relay/hint.go
+++ b/internal/relay/hint.go
@@ -55,6 +55,7 @@
 	}
 }
 
+// announceZone announces this instance's revision to the zone.
 func (r *Relay) announceZone() { r.sendHint(r.Directory.View().Revision, r.zoneMembers()) }
 
 // isAnnouncer reports whether this instance is known to be one of those that announce
--- a/internal/relay/pull.go
+++ b/internal/relay/pull.go
@@ -125,7 +125,7 @@
 
 // pullPeer returns one of an instance's pull peers. They are spread over the list, which is
 // ordered by name and so mostly by zone. Each value of turn selects others.
-func pullPeer(all []roster.Instance, own string, number, turn int) (roster.Instance, bool) {
+func pullPeer(all []roster.Instance, own string, number, rotation int) (roster.Instance, bool) {
 	at, known := slices.BinarySearchFunc(all, own, func(i roster.Instance, name string) int { return cmp.Compare(i.Name, name) })
 	others := len(all)
 	if known {
@@ -135,5 +135,5 @@
 	if others == 0 {
 		return roster.Instance{}, false
 	}
-	return all[(at+(number*others/pullPeerCount+turn)%others)%len(all)], true
+	return all[(at+(number*others/pullPeerCount+rotation)%others)%len(all)], true
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,7 +1,7 @@
-// Package relay lets instances learn from their peers what is in the store while the store
-// does not tell them itself: they must still apply configurations and stop using endpoints
-// that leave. While the store answers every instance, only its revision and recent changes
-// are sent within a zone.
+// Package relay lets instances get the store's contents from their peers while the store
+// does not answer them: they must still apply configurations and stop using endpoints that
+// leave. While the store answers every instance, only its revision and recent changes are
+// sent within a zone.
 package relay
 
 import (
@@ -50,7 +50,7 @@
 	maxResponseEndpoints = 1000
 )
 
-// Request says what the requesting instance has.
+// Request describes what the requesting instance has.
 type Request struct {
 	Version      int64  `cbor:"1,keyasint"` // of the configuration
 	Revision     int64  `cbor:"2,keyasint"` // of the view of endpoints
@@ -85,8 +85,8 @@
 	Seeders []string `cbor:"13,keyasint,omitempty"`
 	// Progress grows while the sender reads all endpoints or sends them to others.
 	Progress int64 `cbor:"15,keyasint,omitempty"`
-	// Version is that of the newest configuration the sender knows of, whether it has it or
-	// not.
+	// Version is that of the newest configuration known to the sender, which may not have
+	// it yet.
 	Version int64 `cbor:"16,keyasint,omitempty"`
 }
 
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -46,7 +46,7 @@
 		for n := range size {
 			all = append(all, roster.Instance{Name: fmt.Sprintf("front-zone-%d-%03d", n*5/size, n), Zone: fmt.Sprint("zone-", n*5/size)})
 		}
-		asked := map[string]int{}
+		pulledBy := map[string]int{}
 		for _, own := range all {
 			peers, zones := map[string]bool{}, map[string]bool{}
 			for number := range pullPeerCount {
@@ -60,14 +60,14 @@
 				c.Assert(zones, qt.HasLen, 5)
 			}
 			for name := range peers {
-				asked[name]++
+				pulledBy[name]++
 			}
 			if size > 2*pullPeerCount {
 				other, _ := pullPeer(all, own.Name, 0, 1)
 				c.Assert(peers[other.Name], qt.IsFalse)
 			}
 		}
-		for _, n := range asked {
+		for _, n := range pulledBy {
 			c.Assert(n <= 2*pullPeerCount, qt.IsTrue, qt.Commentf("asked by %d of %d", n, size))
 		}
 		if size > 1 { // also for an instance that is not in the roster yet
--- a/internal/relay/seed.go
+++ b/internal/relay/seed.go
@@ -194,7 +194,7 @@
 			delete(r.activeSeeds, other)
 		}
 	}
-	if _, asks := r.activeSeeds[name]; !asks && len(r.activeSeeds) >= max(int(seedsPerShare*r.Capacity/capacityShare), seedsPerShare) {
+	if _, active := r.activeSeeds[name]; !active && len(r.activeSeeds) >= max(int(seedsPerShare*r.Capacity/capacityShare), seedsPerShare) {
 		r.Scope.Counter("relay_seeds_put_off").Inc(1)
 		return false
 	}
--- a/internal/roster/member.go
+++ b/internal/roster/member.go
@@ -93,6 +93,8 @@
 // maySkipRenewal reports whether a renewal may wait for the next interval.
 func (m *Member) maySkipRenewal() bool { return m.entryWritten && !m.callFailed && !m.Watching() }
 
+// renew renews the lease, or registers again if the lease has expired or the store lacks the
+// current entry.
 func (m *Member) renew(ctx context.Context) {
 	if m.lease == 0 || !m.entryWritten {
 		m.register(ctx)
@@ -108,6 +110,7 @@
 	m.OnCall(err)
 }
 
+// register writes the entry, with a new lease if the current one has expired.
 func (m *Member) register(ctx context.Context) {
 	err := m.put(ctx)
 	if errors.Is(err, ErrLapsed) {
@@ -126,6 +129,7 @@
 	m.Log.Write(eventlog.Line{Event: eventlog.Registered, Count: m.lease})
 }
 
+// put writes the entry under the current lease, and opens one if there is none.
 func (m *Member) put(ctx context.Context) error {
 	if m.lease == 0 {
 		lease, err := m.Registry.Grant(ctx, leaseTTL)
