--- a/internal/relay/hint.go
+++ b/internal/relay/hint.go
@@ -24,12 +24,12 @@
 // before it carry the changes since the last announcement, so that most receivers need not
 // request anything.
 type Hint struct {
-	Revision int64     `cbor:"1,keyasint"`
-	Digest   uint64    `cbor:"2,keyasint"`
-	Since    int64     `cbor:"3,keyasint,omitempty"`
-	Changes  *Response `cbor:"4,keyasint,omitempty"` // those after Since
-	Version  int64     `cbor:"5,keyasint,omitempty"` // as in Response
-	AskStore bool      `cbor:"6,keyasint,omitempty"` // for a configuration of that version
+	Revision  int64     `cbor:"1,keyasint"`
+	Digest    uint64    `cbor:"2,keyasint"`
+	Since     int64     `cbor:"3,keyasint,omitempty"`
+	Changes   *Response `cbor:"4,keyasint,omitempty"` // those after Since
+	Version   int64     `cbor:"5,keyasint,omitempty"` // as in Response
+	ReadStore bool      `cbor:"6,keyasint,omitempty"` // for a configuration of that version
 }
 
 // Told announces changes read from the store. Only the instances that watch the store
@@ -63,8 +63,8 @@
 // many start together, each of ten or twenty would take itself for one of the first two and
 // connect to all others.
 func (r *Relay) isAnnouncer() bool {
-	place, known := r.Roster.Rank(r.Zone, roleWatch, r.Name)
-	return known && place < watchersPerZone && r.Now().Sub(r.startedAt) >= minAnnounceAge
+	rank, known := r.Roster.Rank(r.Zone, roleWatch, r.Name)
+	return known && rank < watchersPerZone && r.Now().Sub(r.startedAt) >= minAnnounceAge
 }
 
 // forward announces a revision learned from another zone: to the own zone if this instance
@@ -96,7 +96,7 @@
 	}
 	version, fromStore := r.newestVersion(v), r.configurationFromStore(v)
 	for _, h := range list {
-		h.Version, h.AskStore = version, fromStore
+		h.Version, h.ReadStore = version, fromStore
 		failed := peer.SendAll(r.Transport, addresses, topicHint, h)
 		r.Scope.Counter("relay_hint_failed").Inc(int64(failed))
 	}
@@ -122,18 +122,18 @@
 
 // receiveHint handles a hint from a peer.
 func (r *Relay) receiveHint(from peer.Sender, h Hint) {
-	if h.AskStore {
+	if h.ReadStore {
 		r.requestConfiguration(h.Version)
 	}
 	if h.Changes != nil {
 		r.applyHintChanges(from, h)
 		return // the last hint of a series has no changes
 	}
-	place, known := r.Roster.Rank(r.Zone, roleWatch, from.Name)
+	rank, known := r.Roster.Rank(r.Zone, roleWatch, from.Name)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Fresh.Observe(r.Now(), h.Revision, h.Digest, from.Name)
-	if known && place == 0 {
+	if known && rank == 0 {
 		r.announced = max(r.announced, h.Revision)
 	}
 	r.ticker.Wake()
--- a/internal/relay/hint_test.go
+++ b/internal/relay/hint_test.go
@@ -68,10 +68,10 @@
 }
 
 // changesHint returns a hint with the changes from revision 10 to 12.
-func changesHint(version int64, askStore bool) Hint {
+func changesHint(version int64, readStore bool) Hint {
 	e := directory.Endpoint{ID: "e2", Service: "llm", Zone: "a", Revision: 12}
 	return Hint{
-		Revision: 12, Since: 10, Version: version, AskStore: askStore,
+		Revision: 12, Since: 10, Version: version, ReadStore: readStore,
 		Changes: &Response{Revision: 12, Version: version, Endpoints: []directory.Endpoint{e}},
 	}
 }
@@ -92,7 +92,7 @@
 	rt.receiveHint(from, changesHint(2, true)) // the configuration is large: each instance reads it without a request to a peer
 	c.Check(rt.configurationReads, qt.Equals, 1)
 	c.Check(rt.Directory.View().Revision, qt.Equals, int64(12))
-	rt.receiveHint(from, Hint{Revision: 12, Digest: 1, Version: 2, AskStore: true})
+	rt.receiveHint(from, Hint{Revision: 12, Digest: 1, Version: 2, ReadStore: true})
 	c.Check(rt.configurationReads, qt.Equals, 1)
 }
 
@@ -126,7 +126,7 @@
 	rt := newMember(t)
 	rt.receiveHint(peer.Sender{Name: "n1"}, changesHint(2, true))
 	resp := rt.buildResponse(rt.Directory.View(), Request{Version: 1, Revision: 10})
-	c.Check(resp.AskStore, qt.IsTrue)
+	c.Check(resp.ReadStore, qt.IsTrue)
 	c.Check(resp.Version, qt.Equals, int64(2))
 
 	rt.retryConfiguration(rt.now + 400)
@@ -137,7 +137,7 @@
 	rt.retryConfiguration(rt.now + 2000)
 	c.Check(rt.configurationReads, qt.Equals, 2)
 	resp = rt.buildResponse(rt.Directory.View(), Request{Version: 1, Revision: 10})
-	c.Check(resp.AskStore, qt.IsFalse)
+	c.Check(resp.ReadStore, qt.IsFalse)
 	c.Assert(resp.Document, qt.IsNotNil)
 	c.Check(resp.Document.Version, qt.Equals, int64(2))
 }
--- a/internal/relay/pull.go
+++ b/internal/relay/pull.go
@@ -44,7 +44,7 @@
 	if !ok && name == "" {
 		r.rotation.Add(1)
 	}
-	if !ok || resp.Whole || resp.Revision == 0 || resp.Digest == 0 {
+	if !ok || resp.Complete || resp.Revision == 0 || resp.Digest == 0 {
 		return
 	}
 	v = r.Directory.View()
@@ -54,7 +54,7 @@
 	r.mu.Unlock()
 	if full {
 		r.Scope.Counter("relay_whole_views").Inc(1)
-		r.request(ctx, other, Request{Version: req.Version, Disconnected: req.Disconnected, Whole: true}, timeout)
+		r.request(ctx, other, Request{Version: req.Version, Disconnected: req.Disconnected, Complete: true}, timeout)
 	}
 }
 
@@ -62,7 +62,7 @@
 func (r *Relay) request(ctx context.Context, other roster.Instance, req Request, timeout time.Duration) (Response, bool) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	resp, err := peer.Ask[Request, Response](ctx, r.Transport, other.Address, topic, req)
+	resp, err := peer.Ask[Request, Response](ctx, r.Transport, other.Address, topicRequest, req)
 	if err != nil {
 		r.Scope.Counter("relay_unanswered").Inc(1)
 		return resp, false
@@ -82,7 +82,7 @@
 			r.Tell(directory.Configured{Table: table, Revision: resp.TableRevision})
 		}
 	}
-	if resp.AskStore {
+	if resp.ReadStore {
 		r.requestConfiguration(resp.Version)
 	}
 }
@@ -96,11 +96,11 @@
 		return
 	}
 	r.applyTable(other, resp)
-	if resp.Revision < req.Revision || resp.Revision == req.Revision && !resp.Whole {
+	if resp.Revision < req.Revision || resp.Revision == req.Revision && !resp.Complete {
 		return
 	}
-	r.Instances(resp.Instances, resp.Left, resp.Whole, resp.Revision) // first, as in the feed
-	r.Tell(directory.Relayed{Whole: resp.Whole, Endpoints: resp.Endpoints, Gone: resp.Gone, Evacuations: resp.Evacuations, Revision: resp.Revision})
+	r.Instances(resp.Instances, resp.RemovedInstances, resp.Complete, resp.Revision) // first, as in the feed
+	r.Tell(directory.Relayed{Whole: resp.Complete, Endpoints: resp.Endpoints, Gone: resp.Removed, Evacuations: resp.Evacuations, Revision: resp.Revision})
 	if resp.Revision == req.Revision {
 		return // the views differed at the same revision; their differences are logged one by one
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -24,8 +24,8 @@
 )
 
 const (
-	topic     = "relay.ask"
-	topicHint = "relay.hint"
+	topicRequest = "relay.ask"
+	topicHint    = "relay.hint"
 )
 
 // roleWatch is the role of watching the store for a zone.
@@ -58,23 +58,23 @@
 	Disconnected bool   `cbor:"4,keyasint"` // the store does not answer the requesting instance
 	// Seeding is set by an instance that has just started and wants all endpoints.
 	Seeding bool `cbor:"5,keyasint,omitempty"`
-	// Whole requests the complete view at once, so that the requesting instance can find
+	// Complete requests the complete view at once, so that the requesting instance can find
 	// out which entries do not exist.
-	Whole bool `cbor:"6,keyasint,omitempty"`
+	Complete bool `cbor:"6,keyasint,omitempty"`
 }
 
 // Response holds what the requesting instance lacks.
 type Response struct {
-	Document      *route.Document      `cbor:"1,keyasint,omitempty"`
-	TableRevision int64                `cbor:"2,keyasint"`
-	Whole         bool                 `cbor:"3,keyasint"` // the lists hold the sender's complete view
-	Endpoints     []directory.Endpoint `cbor:"4,keyasint,omitempty"`
-	Gone          []directory.Removed  `cbor:"5,keyasint,omitempty"`
-	Instances     []roster.Instance    `cbor:"6,keyasint,omitempty"`
-	Left          []roster.Departure   `cbor:"7,keyasint,omitempty"`
-	Revision      int64                `cbor:"8,keyasint"`
-	AskStore      bool                 `cbor:"9,keyasint,omitempty"` // a newer configuration is not included
-	Digest        uint64               `cbor:"10,keyasint"`          // of the sender's view at Revision
+	Document         *route.Document      `cbor:"1,keyasint,omitempty"`
+	TableRevision    int64                `cbor:"2,keyasint"`
+	Complete         bool                 `cbor:"3,keyasint"` // the lists hold the sender's complete view
+	Endpoints        []directory.Endpoint `cbor:"4,keyasint,omitempty"`
+	Removed          []directory.Removed  `cbor:"5,keyasint,omitempty"`
+	Instances        []roster.Instance    `cbor:"6,keyasint,omitempty"`
+	RemovedInstances []roster.Departure   `cbor:"7,keyasint,omitempty"`
+	Revision         int64                `cbor:"8,keyasint"`
+	ReadStore        bool                 `cbor:"9,keyasint,omitempty"` // a newer configuration is not included
+	Digest           uint64               `cbor:"10,keyasint"`          // of the sender's view at Revision
 	// Evacuations are the operators' orders to evacuate zones.
 	Evacuations []directory.Evacuation `cbor:"11,keyasint,omitempty"`
 	More        bool                   `cbor:"12,keyasint,omitempty"` // there is more after Revision
@@ -98,7 +98,8 @@
 	Directory *directory.Directory
 	Zone      string
 	Capacity  float64 // of this instance's processor, in cores
-	Tell      func(directory.Event)
+	// Tell applies an event to the directory.
+	Tell func(directory.Event)
 	// Instances applies what a peer knows of instances; whole says that the lists are
 	// complete.
 	Instances func(seen []roster.Instance, left []roster.Departure, whole bool, revision int64)
@@ -173,7 +174,7 @@
 
 // Register adds the handlers of peers' requests and hints.
 func (r *Relay) Register(router *message.Router) {
-	peer.AnswerEncoded(router, r.Transport, topic, func(_ context.Context, s peer.Sender, req Request) (peer.Encoded, error) {
+	peer.AnswerEncoded(router, r.Transport, topicRequest, func(_ context.Context, s peer.Sender, req Request) (peer.Encoded, error) {
 		if r.Transport.Busy(s.Address) {
 			// The peer repeats its request before it has the last response; another one
 			// would only add load to its link.
@@ -211,24 +212,24 @@
 	switch {
 	case resp.Version <= req.Version:
 	case !req.Disconnected && r.configurationFromStore(v):
-		resp.AskStore = true
+		resp.ReadStore = true
 	case v.Version() > req.Version:
 		d := v.Table.Document()
 		resp.Document = &d
 	}
 	since, limit := req.Revision, maxResponseEndpoints
 	switch {
-	case req.Whole, v.Revision == req.Revision && v.Digest != req.Digest:
+	case req.Complete, v.Revision == req.Revision && v.Digest != req.Digest:
 		since, limit = 0, 0 // the views may differ at the same revision: send everything
 	case v.Revision <= req.Revision:
 		return resp
 	}
 	changes := r.Directory.Since(since, limit)
 	resp.More = changes.More
-	resp.Whole, resp.Endpoints, resp.Gone, resp.Evacuations = changes.Whole, changes.Endpoints, changes.Gone, changes.Evacuations
+	resp.Complete, resp.Endpoints, resp.Removed, resp.Evacuations = changes.Whole, changes.Endpoints, changes.Gone, changes.Evacuations
 	resp.Revision, resp.Digest = changes.Revision, changes.Digest
 	if !req.Seeding || since == 0 {
-		resp.Instances, resp.Left = r.Roster.Since(since)
+		resp.Instances, resp.RemovedInstances = r.Roster.Since(since)
 	}
 	return resp
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -25,14 +25,14 @@
 		}
 		d.Apply(0, directory.Listed{Endpoints: all, Revision: int64(size)})
 		r := New(Options{Directory: d, Roster: roster.New(func() clock.Millis { return 0 }), Now: func() clock.Millis { return 0 }})
-		for _, req := range []Request{{Whole: true}, {Revision: int64(size), Digest: 1}} {
+		for _, req := range []Request{{Complete: true}, {Revision: int64(size), Digest: 1}} {
 			resp := r.buildResponse(r.Directory.View(), req)
-			c.Check(resp.Whole, qt.IsTrue)
+			c.Check(resp.Complete, qt.IsTrue)
 			c.Check(resp.More, qt.IsFalse)
 			c.Check(resp.Endpoints, qt.HasLen, size)
 		}
 		part := r.buildResponse(r.Directory.View(), Request{})
-		c.Check(part.Whole, qt.Equals, size <= maxResponseEndpoints)
+		c.Check(part.Complete, qt.Equals, size <= maxResponseEndpoints)
 		c.Check(part.Endpoints, qt.HasLen, min(size, maxResponseEndpoints))
 	}
 }
@@ -100,8 +100,8 @@
 	c.Check(get(Request{Revision: 100, Digest: 5}), qt.Equals, first)
 	c.Check(get(Request{Revision: 300}).response.Endpoints, qt.HasLen, 200)
 	c.Check(get(Request{Revision: 100}), qt.Equals, first)
-	c.Check(get(Request{Revision: 500, Digest: 5}).response.Whole, qt.IsTrue)
-	c.Check(get(Request{Revision: 500, Digest: d.View().Digest}).response.Whole, qt.IsFalse)
+	c.Check(get(Request{Revision: 500, Digest: 5}).response.Complete, qt.IsTrue)
+	c.Check(get(Request{Revision: 500, Digest: d.View().Digest}).response.Complete, qt.IsFalse)
 	for n := range maxCachedResponses {
 		get(Request{Revision: int64(n)})
 	}
--- a/internal/relay/seed.go
+++ b/internal/relay/seed.go
@@ -124,24 +124,24 @@
 func (s *seedRun) requestPage(ctx context.Context, from roster.Instance, req Request) (Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, seedTimeout)
 	defer cancel()
-	return peer.Ask[Request, Response](ctx, s.Transport, from.Address, topic, req)
+	return peer.Ask[Request, Response](ctx, s.Transport, from.Address, topicRequest, req)
 }
 
 // applyPage applies one page and records which entries it has.
 func (s *seedRun) applyPage(from roster.Instance, resp Response) {
 	s.applyTable(from, resp)
-	s.Instances(resp.Instances, resp.Left, false, resp.Revision)
+	s.Instances(resp.Instances, resp.RemovedInstances, false, resp.Revision)
 	for _, e := range resp.Endpoints {
 		s.present[e.Entry] = true
 	}
-	for _, g := range resp.Gone {
+	for _, g := range resp.Removed {
 		delete(s.present, g.Entry)
 	}
 	for _, z := range resp.Evacuations {
 		s.evacuations[z.Zone] = z
 	}
 	s.revision = resp.Revision
-	s.Tell(directory.Relayed{Endpoints: resp.Endpoints, Gone: resp.Gone, Evacuations: resp.Evacuations, Revision: resp.Revision})
+	s.Tell(directory.Relayed{Endpoints: resp.Endpoints, Gone: resp.Removed, Evacuations: resp.Evacuations, Revision: resp.Revision})
 }
 
 // finish removes endpoints that came from an older listing and that no page has.
