--- a/internal/endpoint/client_test.go
+++ b/internal/endpoint/client_test.go
@@ -87,15 +87,19 @@
 	c.Assert(errors.Is(err, ErrNotRun), qt.IsTrue)
 }
 
-// cutAfter reads the given number of bytes from each connection, then resets it.
+// cutAfter reads the given number of bytes from each connection, then resets it. It waits for
+// the first byte without a deadline: a reset before it may fail the dial, which means not run.
 func cutAfter(l net.Listener, cut int, read chan<- int) {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
 			return
 		}
+		request := make([]byte, cut)
+		n, _ := io.ReadFull(conn, request[:1])
 		_ = conn.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
-		n, _ := io.ReadFull(conn, make([]byte, cut))
+		more, _ := io.ReadFull(conn, request[n:])
+		n += more
 		_ = conn.(*net.TCPConn).SetLinger(0)
 		read <- n
 		_ = conn.Close()
