--- a/internal/catalog/aggregate.go
+++ b/internal/catalog/aggregate.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Field is one property of an aggregate as operators write and read it.
+// Field is one property of an aggregate in the text form that operators use.
 type Field struct {
 	Name  string `cbor:"1,keyasint" json:"name"`
 	Value string `cbor:"2,keyasint" json:"value"`
 }
 
-// aggregate is one named thing that operators configure. Each keeps its own
-// rules: set parses one field, check looks at the whole.
+// aggregate is a named configuration object, such as a zone or a pool. set
+// parses and stores one field; check validates the object within the catalog.
 type aggregate interface {
 	set(field, value string) error
 	fields() []Field
 	check(c *Catalog) error
 }
 
-// The nouns of the aggregates.
+// The types of aggregates, as changes name them.
 const (
 	NounZone      = "zone"
 	NounClass     = "class"
@@ -30,13 +30,14 @@
 	NounEndpoint  = "endpoint"
 )
 
-// Nouns lists all nouns, those that others refer to first.
+// Nouns returns all nouns in dependency order: each follows the nouns that its
+// aggregates refer to.
 func Nouns() []string {
 	return []string{NounZone, NounClass, NounWorkspace, NounKind, NounPool, NounEndpoint}
 }
 
-// newAggregate returns an empty aggregate with its defaults; nil for an
-// unknown noun.
+// newAggregate returns an aggregate with default values, or nil if the noun is
+// unknown.
 func newAggregate(noun string) aggregate {
 	switch noun {
 	case NounZone:
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,5 +1,5 @@
-// Package catalog holds the operators' configuration: zones, classes,
-// workspaces, kinds, pools and endpoints, and the changes that make it.
+// Package catalog holds the configuration that operators maintain: zones,
+// classes, workspaces, kinds, pools and endpoints. It is built up by changes.
 package catalog
 
 import (
@@ -11,11 +11,11 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// Error marks every error of this package.
+// Error is the class of all errors of this package.
 var Error = errs.Class("catalog")
 
-// Catalog is the configuration at one revision. A Catalog is never changed;
-// Apply returns another, so that readers need no lock.
+// Catalog is the configuration at one revision. It is immutable: Apply returns
+// a new Catalog, so readers need no lock.
 type Catalog struct {
 	Revision   int64
 	Zones      map[string]*Zone
@@ -35,7 +35,7 @@
 	VerbDelete = "delete"
 )
 
-// Change is one accepted command, an entry of the audit trail.
+// Change is an accepted configuration command and an entry of the audit trail.
 type Change struct {
 	Revision int64        `cbor:"1,keyasint" json:"revision"`
 	ID       string       `cbor:"2,keyasint" json:"id"` // chosen by the sender
@@ -57,7 +57,8 @@
 	}
 }
 
-// Apply returns the catalog after change, whose revision must be the next one.
+// Apply returns the catalog with change applied. The revision of change must
+// directly follow that of the catalog.
 func (c *Catalog) Apply(change Change) (*Catalog, error) {
 	if change.Revision != c.Revision+1 {
 		return nil, Error.New("revision %d does not follow %d", change.Revision, c.Revision)
@@ -83,13 +84,13 @@
 		if old == nil {
 			return Error.New("does not exist")
 		}
-		fresh := newAggregate(change.Noun)
+		updated := newAggregate(change.Noun)
 		for _, f := range old.fields() {
-			if err := fresh.set(f.Name, f.Value); err != nil {
+			if err := updated.set(f.Name, f.Value); err != nil {
 				return err
 			}
 		}
-		return c.put(change, fresh)
+		return c.put(change, updated)
 	case VerbDelete:
 		if old == nil {
 			return Error.New("does not exist")
@@ -117,7 +118,8 @@
 	return a.check(c)
 }
 
-// Before returns the present values of the fields that a change would set.
+// Before returns the current values of the fields that change sets, or of all
+// fields if it deletes the aggregate.
 func (c *Catalog) Before(change Change) []Field {
 	old := c.find(change.Noun, change.Name)
 	if old == nil {
@@ -141,7 +143,7 @@
 	return name, ok
 }
 
-// Fields returns the fields of one aggregate; ok is false when there is none.
+// Fields returns the fields of an aggregate; ok is false if it does not exist.
 func (c *Catalog) Fields(noun, name string) (fields []Field, ok bool) {
 	a := c.find(noun, name)
 	if a == nil {
@@ -150,7 +152,7 @@
 	return a.fields(), true
 }
 
-// Names returns the sorted names of all aggregates of a noun.
+// Names returns the sorted names of all aggregates with the given noun.
 func (c *Catalog) Names(noun string) []string {
 	switch noun {
 	case NounZone:
@@ -189,7 +191,8 @@
 	}
 }
 
-// lookup returns a nil interface, not a nil pointer in one, when name is new.
+// lookup returns m[name], or a nil interface (rather than an interface that
+// holds a nil pointer) if there is no such name.
 func lookup[P aggregate](m map[string]P, name string) aggregate {
 	a, ok := m[name]
 	if !ok {
@@ -232,7 +235,7 @@
 	}
 }
 
-// checkAll finds what a deletion left without what it refers to.
+// checkAll checks every aggregate, to find references to a deleted one.
 func (c *Catalog) checkAll() error {
 	for _, noun := range Nouns() {
 		for _, name := range c.Names(noun) {
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -10,7 +10,7 @@
 	"github.com/trailshed/trailshed/internal/catalog"
 )
 
-func change(revision int64, verb, noun, name string, fields ...string) catalog.Change {
+func newChange(revision int64, verb, noun, name string, fields ...string) catalog.Change {
 	ch := catalog.Change{Revision: revision, Verb: verb, Noun: noun, Name: name}
 	for i := 0; i < len(fields); i += 2 {
 		ch.To = append(ch.To, catalog.Field{Name: fields[i], Value: fields[i+1]})
@@ -18,14 +18,14 @@
 	return ch
 }
 
-func small(t testing.TB) *catalog.Catalog {
+func smallCatalog(t testing.TB) *catalog.Catalog {
 	c := catalog.New()
 	for i, ch := range []catalog.Change{
-		change(1, "create", "zone", "a"),
-		change(2, "create", "class", "gold", "rank", "0", "share", "0.6"),
-		change(3, "create", "workspace", "w", "class", "gold", "key_hash", "h"),
-		change(4, "create", "pool", "p", "zone", "a", "role", "decode", "serves", "m"),
-		change(5, "create", "endpoint", "e", "pool", "p", "address", "127.0.0.1:1"),
+		newChange(1, "create", "zone", "a"),
+		newChange(2, "create", "class", "gold", "rank", "0", "share", "0.6"),
+		newChange(3, "create", "workspace", "w", "class", "gold", "key_hash", "h"),
+		newChange(4, "create", "pool", "p", "zone", "a", "role", "decode", "serves", "m"),
+		newChange(5, "create", "endpoint", "e", "pool", "p", "address", "127.0.0.1:1"),
 	} {
 		next, err := c.Apply(ch)
 		if err != nil {
@@ -41,22 +41,22 @@
 		change catalog.Change
 		want   string
 	}{
-		{change(7, "set", "zone", "a"), "revision 7 does not follow 5"},
-		{change(6, "create", "zone", "a"), "exists already"},
-		{change(6, "set", "class", "silver"), "does not exist"},
-		{change(6, "create", "class", "silver", "share", "0.5"), "at most 1"},
-		{change(6, "set", "class", "gold", "ttft", "soon"), "soon"},
-		{change(6, "set", "class", "gold", "colour", "red"), "colour"},
-		{change(6, "delete", "class", "gold"), `class "gold" does not exist`},
-		{change(6, "delete", "pool", "p"), `pool "p" does not exist`},
-		{change(6, "create", "planet", "x"), "unknown noun"},
-		{change(6, "create", "endpoint", "f", "pool", "p", "address", "host:1"), "host:1"},
-		{change(6, "set", "pool", "p", "role", "cook"), "must be one of"},
+		{newChange(7, "set", "zone", "a"), "revision 7 does not follow 5"},
+		{newChange(6, "create", "zone", "a"), "exists already"},
+		{newChange(6, "set", "class", "silver"), "does not exist"},
+		{newChange(6, "create", "class", "silver", "share", "0.5"), "at most 1"},
+		{newChange(6, "set", "class", "gold", "ttft", "soon"), "soon"},
+		{newChange(6, "set", "class", "gold", "colour", "red"), "colour"},
+		{newChange(6, "delete", "class", "gold"), `class "gold" does not exist`},
+		{newChange(6, "delete", "pool", "p"), `pool "p" does not exist`},
+		{newChange(6, "create", "planet", "x"), "unknown noun"},
+		{newChange(6, "create", "endpoint", "f", "pool", "p", "address", "host:1"), "host:1"},
+		{newChange(6, "set", "pool", "p", "role", "cook"), "must be one of"},
 	}
 	for _, test := range tests {
 		t.Run(test.want, func(t *testing.T) {
 			c := qt.New(t)
-			before := small(t)
+			before := smallCatalog(t)
 			_, err := before.Apply(test.change)
 			c.Assert(err, qt.ErrorMatches, ".*"+test.want+".*")
 			c.Assert(before.Revision, qt.Equals, int64(5))
@@ -66,7 +66,7 @@
 
 func TestRowsRebuildTheCatalog(t *testing.T) {
 	c := qt.New(t)
-	before := small(t)
+	before := smallCatalog(t)
 	after, err := catalog.FromRows(before.Revision, before.Rows())
 	c.Assert(err, qt.IsNil)
 	c.Assert(after.Rows(), qt.DeepEquals, before.Rows())
@@ -76,20 +76,20 @@
 }
 
 func ExampleCatalog_Layout() {
-	c := small(nil)
-	c, _ = c.Apply(change(6, "set", "pool", "p", "state", "stopped"))
+	c := smallCatalog(nil)
+	c, _ = c.Apply(newChange(6, "set", "pool", "p", "state", "stopped"))
 	for name, members := range c.Layout("a") {
 		fmt.Println(name, members[0].Name, "draining:", members[0].Draining)
 	}
 	// Output: a/m/0 e draining: true
 }
 
-// BenchmarkCatalog is the configuration at the size that the first letter
-// names: 10,000 endpoints, 720 workspaces, 24 zones, 6 models.
+// BenchmarkCatalog measures changes to a configuration of the size required of
+// the system: 10,000 endpoints, 720 workspaces, 24 zones, 6 models.
 func BenchmarkCatalog(b *testing.B) {
 	c := catalog.New()
 	apply := func(verb, noun, name string, fields ...string) {
-		next, err := c.Apply(change(c.Revision+1, verb, noun, name, fields...))
+		next, err := c.Apply(newChange(c.Revision+1, verb, noun, name, fields...))
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/catalog/class.go
+++ b/internal/catalog/class.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Class is a priority that workspaces pay for.
+// Class is a service class: the priority and latency targets of workspaces.
 type Class struct {
-	Rank  int           // 0 is served first
-	TTFT  time.Duration // target of the time to the first token
-	TBT   time.Duration // target of the time between tokens
-	Share float64       // least part of the granted work while it has any waiting
+	Rank  int           // lower ranks are served first, from 0
+	TTFT  time.Duration // target time to first token
+	TBT   time.Duration // target time between tokens
+	Share float64       // minimum share of the granted work while requests of the class wait
 }
 
 func (c *Class) set(field, value string) error {
--- a/internal/catalog/endpoint.go
+++ b/internal/catalog/endpoint.go
@@ -15,10 +15,10 @@
 type Endpoint struct {
 	Pool         string
 	Address      netip.AddrPort
-	Slots        int // requests that its memory holds
-	Link         int // KV transfer speed in tokens a second
+	Slots        int // concurrent requests that fit in its memory
+	Link         int // KV cache transfer rate in tokens per second
 	State        string
-	FenceChecked bool // whether it refuses orders with an old fence
+	FenceChecked bool // whether it rejects orders with an outdated fence
 }
 
 func (e *Endpoint) set(field, value string) error {
--- a/internal/catalog/kind.go
+++ b/internal/catalog/kind.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// The repeat rules of a kind.
+// The values of Kind.Repeat.
 const (
 	RepeatAllowed = "allowed"
 	RepeatNever   = "never"
 )
 
-// Kind is a sort of request with its agreed weight and repeat rule.
+// Kind is a type of request, with its weight in fair sharing and its rule for
+// repeats.
 type Kind struct {
 	Serves      string  // model or plain service that answers it
-	Weight      float64 // cost of a unit of its work in the fair share
+	Weight      float64 // cost of a unit of its work in fair sharing
 	Repeat      string
 	KeyRequired bool          // whether a caller must give an idempotency key
-	Window      time.Duration // how long a key is remembered
+	Window      time.Duration // how long an idempotency key is remembered
 }
 
 func (k *Kind) set(field, value string) error {
--- a/internal/catalog/layout.go
+++ b/internal/catalog/layout.go
@@ -10,26 +10,26 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// cellSize is the number of endpoints from which a cell is split.
-const cellSize = 48
+// targetCellSize bounds the average number of endpoints in the parts of a cell.
+const targetCellSize = 48
 
-// Cell names the endpoints of one zone that serve one model or plain service,
-// or one part of them where they are many.
+// Cell identifies the endpoints of one zone that serve one model or plain
+// service, or one part of them if there are more than fit in one cell.
 type Cell struct {
 	Zone   string `cbor:"1,keyasint" json:"zone"`
 	Serves string `cbor:"2,keyasint" json:"serves"`
 	Part   int    `cbor:"3,keyasint,omitempty" json:"part"`
 }
 
-// Compare orders cells by zone, what they serve and part.
+// Compare orders cells by zone, served model or service, and part.
 func (c Cell) Compare(o Cell) int {
 	return cmp.Or(cmp.Compare(c.Zone, o.Zone), cmp.Compare(c.Serves, o.Serves), cmp.Compare(c.Part, o.Part))
 }
 
-// String returns zone/serves/part.
+// String returns the cell in the form zone/serves/part.
 func (c Cell) String() string { return fmt.Sprintf("%s/%s/%d", c.Zone, c.Serves, c.Part) }
 
-// Member is an endpoint as its cell sees it.
+// Member is an endpoint of a cell, with the settings that its dispatcher needs.
 type Member struct {
 	Name     string
 	Role     string
@@ -39,7 +39,8 @@
 	Draining bool // takes no new work
 }
 
-// layouts are worked out once for each zone that asks, which is the own one.
+// layouts caches the layout of each requested zone. A process usually requests
+// only its own zone.
 type layouts struct {
 	mu     sync.Mutex
 	byZone map[string]*layout
@@ -50,11 +51,12 @@
 	byServes map[string][]Cell
 }
 
-// Layout returns the members of every cell of a zone, sorted by name. Callers
-// must not change them.
+// Layout returns the members of every cell of a zone, sorted by name. The
+// result is shared and must not be modified.
 func (c *Catalog) Layout(zone string) map[Cell][]Member { return c.layout(zone).members }
 
-// CellsOf returns the cells of a zone that serve a model or plain service.
+// CellsOf returns the cells of a zone that serve the given model or plain
+// service.
 func (c *Catalog) CellsOf(zone, serves string) []Cell { return c.layout(zone).byServes[serves] }
 
 func (c *Catalog) layout(zone string) *layout {
@@ -62,7 +64,7 @@
 	defer c.layouts.mu.Unlock()
 	l, ok := c.layouts.byZone[zone]
 	if !ok {
-		l = c.layOut(zone)
+		l = c.computeLayout(zone)
 		if c.layouts.byZone == nil {
 			c.layouts.byZone = map[string]*layout{}
 		}
@@ -71,7 +73,7 @@
 	return l
 }
 
-func (c *Catalog) layOut(zone string) *layout {
+func (c *Catalog) computeLayout(zone string) *layout {
 	sizes := map[string]int{}
 	var names []string
 	for name, e := range c.Endpoints {
@@ -85,7 +87,7 @@
 	for _, name := range names {
 		e := c.Endpoints[name]
 		p := c.Pools[e.Pool]
-		cell := Cell{Zone: zone, Serves: p.Serves, Part: part(name, (sizes[p.Serves]+cellSize-1)/cellSize)}
+		cell := Cell{Zone: zone, Serves: p.Serves, Part: partOf(name, (sizes[p.Serves]+targetCellSize-1)/targetCellSize)}
 		l.members[cell] = append(l.members[cell], Member{
 			Name: name, Role: p.Role, Address: e.Address, Slots: e.Slots, Link: e.Link,
 			Draining: e.State != EndpointServing || p.State != PoolRunning,
@@ -97,7 +99,7 @@
 	return l
 }
 
-// part places an endpoint by its name alone, so that all nodes agree.
-func part(name string, parts int) int {
+// partOf assigns an endpoint to a part by its name alone, so that all nodes agree.
+func partOf(name string, parts int) int {
 	return int(xxhash.Sum64String(name) % uint64(max(parts, 1)))
 }
--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -1,13 +1,14 @@
 package catalog
 
-// Row is one aggregate in a snapshot.
+// Row is an aggregate in a snapshot.
 type Row struct {
 	Noun   string  `cbor:"1,keyasint"`
 	Name   string  `cbor:"2,keyasint"`
 	Fields []Field `cbor:"3,keyasint"`
 }
 
-// Rows returns the whole catalog, those that others refer to first.
+// Rows returns all aggregates of the catalog in the order of Nouns, so that
+// references point to earlier rows.
 func (c *Catalog) Rows() []Row {
 	var rows []Row
 	for _, noun := range Nouns() {
@@ -18,7 +19,7 @@
 	return rows
 }
 
-// FromRows rebuilds a catalog from a snapshot taken at revision.
+// FromRows rebuilds a catalog from the rows of a snapshot taken at revision.
 func FromRows(revision int64, rows []Row) (*Catalog, error) {
 	c := New()
 	for _, r := range rows {
--- a/internal/catalog/workspace.go
+++ b/internal/catalog/workspace.go
@@ -4,12 +4,12 @@
 	"strconv"
 )
 
-// Workspace is a customer.
+// Workspace is a tenant.
 type Workspace struct {
 	Class   string
-	Weight  float64 // fair share within the class
+	Weight  float64 // in fair sharing within the class
 	KeyHash string  // SHA-256 of the bearer key, in hex
-	Running int     // most requests at a time on one entry; 0 means no limit
+	Running int     // maximum concurrent requests on one entry; 0 means no limit
 }
 
 func (w *Workspace) set(field, value string) error {
