--- a/internal/claim/shard.go
+++ b/internal/claim/shard.go
@@ -1,9 +1,9 @@
-// Package claim keeps requests that may not be repeated from running twice. A
-// claim on (workspace, key) must be in the platform's service before the
-// request is sent. The claims of one shard are batched: each batch is one
-// compare-and-swap on the shard's head key. The head's version fences every
-// former owner of the shard, so owning a shard needs no lease: two owners at
-// once cost conflicts, never a second claim.
+// Package claim makes requests that must not be repeated run at most once. A
+// claim on (workspace, idempotency key) must be stored on the platform before
+// the request is sent. The claims of a shard are batched: each batch is one
+// compare-and-swap on the shard's head key. The version of the head fences
+// former owners of the shard, so owning a shard needs no lease: two concurrent
+// owners cause conflicts, but never a second claim.
 package claim
 
 import (
@@ -20,57 +20,58 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// headLimit is the number of claims from which the head is put away into a
+// maxHeadClaims is the number of claims at which the head is moved to a
 // segment of its own, so that each write stays small.
-const headLimit = 512
+const maxHeadClaims = 512
 
-// Key identifies what is claimed, without telling it.
+// Key identifies what is claimed, without revealing the idempotency key.
 type Key [16]byte
 
-// NewKey returns the key of a workspace's idempotency key.
+// NewKey returns the Key of an idempotency key of a workspace.
 func NewKey(workspace, key string) Key {
 	sum := sha256.Sum256([]byte(workspace + "\x00" + key))
 	return Key(sum[:16])
 }
 
-// Shard returns the number of the key's shard among so many.
+// Shard returns the number of the key's shard, given the number of shards.
 func (k Key) Shard(shards int) int { return int(xxhash.Sum64(k[:]) % uint64(shards)) }
 
-// Claim is one request's right to run.
+// Claim gives one request the right to run.
 type Claim struct {
 	Key     Key            `cbor:"1,keyasint"`
 	Request string         `cbor:"2,keyasint"`
 	Holder  netip.AddrPort `cbor:"3,keyasint"` // entry that runs it
-	Ends    clock.Millis   `cbor:"4,keyasint"` // when the key is forgotten
-	Body    uint64         `cbor:"5,keyasint"` // digest of the request, to find a key used for two
+	Ends    clock.Millis   `cbor:"4,keyasint"` // when the claim expires
+	Body    uint64         `cbor:"5,keyasint"` // digest of the request, to detect one key used for two requests
 }
 
-// Verdict is the answer to a claim.
+// Verdict is the decision on a claim.
 type Verdict string
 
-// The verdicts.
+// The decisions on a claim.
 const (
 	Granted     Verdict = "granted"
-	Taken       Verdict = "taken"       // another request has the key
+	Taken       Verdict = "taken"       // another request holds the key
 	Unavailable Verdict = "unavailable" // the platform did not answer in time
 )
 
-// Answer is what an entry gets for a claim.
+// Answer is the result of a claim, as sent to the entry.
 type Answer struct {
 	Verdict Verdict `cbor:"1,keyasint"`
-	Claim   Claim   `cbor:"2,keyasint"` // with Taken: the one that has the key
+	Claim   Claim   `cbor:"2,keyasint"` // with Taken: the claim that holds the key
 }
 
-// Effect is what the owner must do; each call's outcome comes back by Loaded,
-// Written or Failed. At most one of Load and Write is under way.
+// Effect is an operation that the owner must carry out. The outcome of a Load
+// or Write is reported through Loaded, Written or Failed; at most one of them
+// is in progress at a time.
 type Effect interface{ effect() }
 
 // Load reads all keys under Prefix.
 type Load struct{ Prefix string }
 
-// Write swaps the head. When Segment is set, its key is created first; one that
-// exists already is the same, since it is named by the head's version, and is
-// left as it is.
+// Write replaces the head by compare-and-swap. If Segment is set, that key is
+// created first. A segment that already exists is left as it is: its name
+// contains the head's version, so its content is the same.
 type Write struct {
 	Key     string
 	Value   []byte
@@ -79,13 +80,13 @@
 	Put     []byte // value of the segment
 }
 
-// Delete removes a segment whose claims have all ended.
+// Delete removes a segment whose claims have all expired.
 type Delete struct {
 	Key     string
 	Version int64
 }
 
-// Reply answers the ask with this number.
+// Reply answers the request that Shard.Ask received with this number.
 type Reply struct {
 	Ask    int64
 	Answer Answer
@@ -102,8 +103,8 @@
 	Claims  []Claim `cbor:"2,keyasint"`
 }
 
-// asking is one claim that waits for its answer.
-type asking struct {
+// pendingClaim is a claim that waits for its reply.
+type pendingClaim struct {
 	number   int64
 	claim    Claim
 	deadline clock.Millis
@@ -114,19 +115,19 @@
 	prefix    string
 	interval  time.Duration
 	loaded    bool
-	busy      bool // a Load or Write is under way
+	busy      bool // a Load or Write is in progress
 	nextWrite clock.Millis
 	version   int64
 	head      head
 	known     map[Key]Claim
-	abandoned map[Key]string // request that has the key but certainly never ran
-	asks      []*asking
-	writing   []*asking
-	attempt   head // what the write under way holds
+	abandoned map[Key]string // request that holds the key but certainly never ran
+	waiting   []*pendingClaim
+	writing   []*pendingClaim
+	nextHead  head // the value of the Write in progress
 	effects   []Effect
 }
 
-// NewShard returns the owner's state of a shard; interval is the least time
+// NewShard returns the owner's state of a shard; interval is the minimum time
 // between two writes.
 func NewShard(number int, interval time.Duration) *Shard {
 	return &Shard{
@@ -135,26 +136,27 @@
 	}
 }
 
-// Prefix returns the platform's key prefix of a shard.
+// Prefix returns the prefix of a shard's keys on the platform.
 func Prefix(number int) string { return fmt.Sprintf("claims/%04d/", number) }
 
 func (s *Shard) headKey() string { return s.prefix + "head" }
 
-// Ask takes a claim that must be answered by deadline under the given number.
+// Ask adds a claim. The Reply to it carries number and is due by deadline.
 func (s *Shard) Ask(now clock.Millis, number int64, c Claim, deadline clock.Millis) []Effect {
-	s.asks = append(s.asks, &asking{number: number, claim: c, deadline: deadline})
+	s.waiting = append(s.waiting, &pendingClaim{number: number, claim: c, deadline: deadline})
 	return s.step(now)
 }
 
-// Abandon notes that a request never ran and never will, so that its key may be
-// claimed again. Only the entry that holds the request can know, and says so.
+// Abandon records that a request has not run and never will, so that its key
+// can be claimed again. Only the entry that holds the request knows this and
+// reports it.
 func (s *Shard) Abandon(key Key, request string) {
-	if len(s.abandoned) < headLimit*8 {
+	if len(s.abandoned) < maxHeadClaims*8 {
 		s.abandoned[key] = request
 	}
 }
 
-// Loaded brings all entries under the shard's prefix.
+// Loaded processes the result of a Load: all entries under the shard's prefix.
 func (s *Shard) Loaded(now clock.Millis, entries []platform.Entry) []Effect {
 	s.busy, s.loaded = false, true
 	s.version, s.head = 0, head{}
@@ -163,7 +165,7 @@
 	for _, e := range entries {
 		var h head
 		if err := cbor.Unmarshal(e.Value, &h); err != nil {
-			continue // not ours; the head's version still fences
+			continue // not readable as claims; the head's version still fences
 		}
 		if e.Key == s.headKey() {
 			s.version, s.head = e.Version, h
@@ -171,53 +173,54 @@
 			deletes = append(deletes, Delete{Key: e.Key, Version: e.Version})
 		}
 		for _, c := range h.Claims {
-			s.learn(now, c)
+			s.addKnown(now, c)
 		}
 	}
 	for _, c := range s.head.Claims {
-		s.learn(now, c) // the head is newer than any segment
+		s.addKnown(now, c) // the head is newer than any segment
 	}
 	return append(deletes, s.step(now)...)
 }
 
-func (s *Shard) learn(now clock.Millis, c Claim) {
+func (s *Shard) addKnown(now clock.Millis, c Claim) {
 	if c.Ends > now {
 		s.known[c.Key] = c
 	}
 }
 
-// Written says that the write took effect and the head has this version.
+// Written reports that the write took effect and gave the head this version.
 func (s *Shard) Written(now clock.Millis, version int64) []Effect {
-	s.busy, s.version, s.head = false, version, s.attempt
+	s.busy, s.version, s.head = false, version, s.nextHead
 	for _, a := range s.writing {
 		s.known[a.claim.Key] = a.claim
-		s.asks = append(s.asks, a)
+		s.waiting = append(s.waiting, a)
 	}
 	s.writing = nil
 	return s.step(now)
 }
 
-// Failed says that a Load or Write failed. After a conflict or an unknown
-// outcome the shard is read again: what stands there settles every claim.
+// Failed reports that a Load or Write failed. After a conflict or an unknown
+// outcome the shard is read again: the stored claims decide.
 func (s *Shard) Failed(now clock.Millis) []Effect {
 	s.busy, s.loaded = false, false
-	s.asks = append(s.asks, s.writing...)
+	s.waiting = append(s.waiting, s.writing...)
 	s.writing = nil
 	s.nextWrite = now.Add(s.interval)
 	return s.step(now)
 }
 
-// Tick lets time pass.
+// Tick replies to claims past their deadline and starts the next Load or Write
+// when it is due.
 func (s *Shard) Tick(now clock.Millis) []Effect { return s.step(now) }
 
-// Idle says whether nothing waits and nothing is under way.
-func (s *Shard) Idle() bool { return !s.busy && len(s.asks) == 0 }
+// Idle reports whether no claim waits and no Load or Write is in progress.
+func (s *Shard) Idle() bool { return !s.busy && len(s.waiting) == 0 }
 
 func (s *Shard) step(now clock.Millis) []Effect {
 	s.effects = nil
-	s.settle(now)
+	s.answerKnown(now)
 	s.expire(now)
-	if s.busy || len(s.asks) == 0 || now < s.nextWrite {
+	if s.busy || len(s.waiting) == 0 || now < s.nextWrite {
 		return s.effects
 	}
 	if !s.loaded {
@@ -229,12 +232,13 @@
 	return s.effects
 }
 
-// settle answers every ask whose key is known.
-func (s *Shard) settle(now clock.Millis) {
+// answerKnown replies to every waiting claim whose key is already claimed,
+// unless the request that holds it was abandoned.
+func (s *Shard) answerKnown(now clock.Millis) {
 	if !s.loaded {
 		return
 	}
-	s.asks = slices.DeleteFunc(s.asks, func(a *asking) bool {
+	s.waiting = slices.DeleteFunc(s.waiting, func(a *pendingClaim) bool {
 		c, ok := s.known[a.claim.Key]
 		switch {
 		case !ok || c.Ends <= now:
@@ -250,53 +254,55 @@
 	})
 }
 
-func (s *Shard) reply(a *asking, answer Answer) {
+func (s *Shard) reply(a *pendingClaim, answer Answer) {
 	s.effects = append(s.effects, Reply{Ask: a.number, Answer: answer})
 }
 
-// expire answers asks that waited too long. That alone does not free the key:
-// the entry may have claimed by itself meanwhile, and run.
+// expire replies Unavailable to claims past their deadline. That alone does not
+// free the key: the entry may have claimed it through another owner meanwhile,
+// and run the request.
 func (s *Shard) expire(now clock.Millis) {
-	late := func(a *asking) bool {
+	late := func(a *pendingClaim) bool {
 		if a.deadline > now {
 			return false
 		}
 		s.reply(a, Answer{Verdict: Unavailable})
 		return true
 	}
-	s.asks = slices.DeleteFunc(s.asks, late)
+	s.waiting = slices.DeleteFunc(s.waiting, late)
 	s.writing = slices.DeleteFunc(s.writing, late)
 }
 
-// write puts all waiting claims, one for each key, into one swap of the head.
+// write adds the waiting claims, one for each key, to the head in one
+// compare-and-swap.
 func (s *Shard) write(now clock.Millis) {
-	fresh := slices.Clone(s.head.Claims)
+	claims := slices.Clone(s.head.Claims)
 	w := Write{Key: s.headKey(), Version: s.version}
 	segment := s.head.Segment
-	if len(fresh) >= headLimit {
+	if len(claims) >= maxHeadClaims {
 		w.Segment = fmt.Sprintf("%sseg-%08d-%d", s.prefix, segment, s.version)
-		w.Put = encode(head{Segment: segment, Claims: fresh})
-		fresh = nil
+		w.Put = encode(head{Segment: segment, Claims: claims})
+		claims = nil
 		segment++
 	}
 	taken := map[Key]bool{}
-	s.asks = slices.DeleteFunc(s.asks, func(a *asking) bool {
+	s.waiting = slices.DeleteFunc(s.waiting, func(a *pendingClaim) bool {
 		if taken[a.claim.Key] {
-			return false // settled when the first one is written
+			return false // decided once the first one is written
 		}
 		taken[a.claim.Key] = true
 		s.writing = append(s.writing, a)
-		fresh = append(fresh, a.claim)
+		claims = append(claims, a.claim)
 		return true
 	})
-	s.attempt = head{Segment: segment, Claims: fresh}
-	w.Value = encode(s.attempt)
+	s.nextHead = head{Segment: segment, Claims: claims}
+	w.Value = encode(s.nextHead)
 	s.busy = true
 	s.nextWrite = now.Add(s.interval)
 	s.effects = append(s.effects, w)
 }
 
 func encode(h head) []byte {
-	data, _ := cbor.Marshal(h) // plain fields only, so it cannot fail
+	data, _ := cbor.Marshal(h) // cannot fail: all fields have encodable types
 	return data
 }
--- a/internal/claim/shard_test.go
+++ b/internal/claim/shard_test.go
@@ -17,7 +17,7 @@
 
 const interval = 100 * time.Millisecond
 
-// store is a platform whose answers the test decides.
+// store is a fake of the platform's key-value store.
 type store struct {
 	entries map[string]platform.Entry
 	index   int64
@@ -42,10 +42,10 @@
 	return all
 }
 
-// owner is one process that believes it owns the shard.
+// owner is a process that acts as the owner of the shard.
 type owner struct {
 	shard   *claim.Shard
-	pending []claim.Effect // loads and writes whose outcome is not back yet
+	pending []claim.Effect // operations not completed yet
 	replies []claim.Reply
 }
 
@@ -61,18 +61,18 @@
 	}
 }
 
-// fate is what becomes of a call to the platform.
-type fate int
+// outcome is how a call to the platform ends.
+type outcome int
 
 const (
-	done    fate = iota
-	lost         // takes effect, but no answer comes
-	refused      // does not take effect
-	torn         // the segment takes effect, the head does not
+	succeeded    outcome = iota
+	answerLost           // takes effect, but the answer is lost
+	rejected             // does not take effect
+	headRejected         // the segment is written, the head is not
 )
 
-// settle carries out the oldest pending call.
-func (o *owner) settle(s *store, now clock.Millis, f fate) {
+// completeCall carries out the oldest pending call with the given outcome.
+func (o *owner) completeCall(s *store, now clock.Millis, f outcome) {
 	if len(o.pending) == 0 {
 		return
 	}
@@ -80,7 +80,7 @@
 	o.pending = o.pending[1:]
 	switch e := e.(type) {
 	case claim.Load:
-		if f != done {
+		if f != succeeded {
 			o.take(o.shard.Failed(now))
 			return
 		}
@@ -92,32 +92,32 @@
 	}
 }
 
-func (o *owner) write(s *store, now clock.Millis, e claim.Write, f fate) {
-	ok := f != refused
+func (o *owner) write(s *store, now clock.Millis, e claim.Write, f outcome) {
+	ok := f != rejected
 	if ok && e.Segment != "" {
-		_, _ = s.put(e.Segment, e.Put, 0) // one that exists is the same
+		_, _ = s.put(e.Segment, e.Put, 0) // an existing segment has the same content
 	}
 	var version int64
-	if ok && f != torn {
+	if ok && f != headRejected {
 		version, ok = s.put(e.Key, e.Value, e.Version)
 	}
-	if !ok || f == lost || f == torn {
+	if !ok || f == answerLost || f == headRejected {
 		o.take(o.shard.Failed(now))
 		return
 	}
 	o.take(o.shard.Written(now, version))
 }
 
-// caller is one request's way to its claim: it asks one owner, may lose patience
-// and ask the other, and in the end runs or gives up.
+// caller is a request that needs its claim: it asks one owner, may ask another
+// one before the answer arrives, and finally runs or gives up.
 type caller struct {
 	claim   claim.Claim
-	current int64 // number of the ask whose answer counts
-	asked   int   // owners asked so far
+	lastAsk int64 // number of the only ask whose answer counts
+	asked   int   // number of owners asked so far
 	over    bool
 }
 
-// race is two owners of one shard with the callers that ask them.
+// race is two concurrent owners of one shard with their callers.
 type race struct {
 	*rapid.T
 	store    *store
@@ -133,14 +133,14 @@
 func (r *race) ask(c *caller, o *owner) {
 	r.number++
 	r.byNumber[r.number] = c
-	c.current = r.number
+	c.lastAsk = r.number
 	c.asked++
 	o.take(o.shard.Ask(r.now, r.number, c.claim, r.now.Add(500*time.Millisecond)))
 }
 
-// check acts on the owners' replies as an entry does: only the answer to the
-// last ask counts, a granted request runs, and one that is refused gives up and
-// says so.
+// check acts on an owner's replies as an entry does: only the answer to the
+// last ask counts, a granted request runs, and one whose claim was unavailable
+// gives up and abandons it.
 func (r *race) check(o *owner) {
 	replies := o.replies
 	o.replies = nil
@@ -150,7 +150,7 @@
 		}
 		r.answered[reply.Ask] = true
 		c := r.byNumber[reply.Ask]
-		if c.over || c.current != reply.Ask {
+		if c.over || c.lastAsk != reply.Ask {
 			continue
 		}
 		switch reply.Answer.Verdict {
@@ -167,11 +167,11 @@
 	}
 }
 
-// TestAtMostOnce lets two owners of one shard, which crash, freeze and lose
-// answers at any moment, answer claims on few keys, whose callers may lose
-// patience with one owner and ask the other. However it goes, no key is granted
-// to two requests, and no ask is answered twice.
-func TestAtMostOnce(t *testing.T) {
+// TestKeyIsGrantedAtMostOnce runs two concurrent owners of one shard through
+// random crashes, pauses and lost answers, with claims on few keys and callers
+// that may ask the other owner before the first one replies. No key may be
+// granted to two requests, and no ask may be answered twice.
+func TestKeyIsGrantedAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := &race{
 			T: t, store: newStore(), owners: []*owner{newOwner(), newOwner()}, now: 1_000_000,
@@ -188,12 +188,12 @@
 				r.callers = append(r.callers, c)
 				r.ask(c, o)
 			case 3, 4, 5, 6:
-				o.settle(r.store, r.now, fate(rapid.IntRange(0, 2).Draw(t, "fate")))
+				o.completeCall(r.store, r.now, outcome(rapid.IntRange(0, 2).Draw(t, "fate")))
 			case 7, 8:
 				r.now = r.now.Add(time.Duration(rapid.IntRange(1, 300).Draw(t, "pause")) * time.Millisecond)
 				o.take(o.shard.Tick(r.now))
 			case 9:
-				*o = *newOwner() // a crash: its callers' asks die with it
+				*o = *newOwner() // a crash, which loses the waiting asks
 			default:
 				if n := len(r.callers); n > 0 {
 					c := r.callers[rapid.IntRange(0, n-1).Draw(t, "impatient")]
@@ -207,8 +207,8 @@
 	})
 }
 
-// TestSegments fills the head until it is put away and checks that a new owner
-// still knows every claim.
+// TestSegments fills the head until it is moved to a segment, twice, and checks
+// that a new owner still finds every claim.
 func TestSegments(t *testing.T) {
 	c := qt.New(t)
 	s, o, now := newStore(), newOwner(), clock.Millis(1000)
@@ -217,7 +217,7 @@
 		now = now.Add(interval)
 		o.take(o.shard.Ask(now, i, claim.Claim{Key: claim.NewKey("w", fmt.Sprint(i)), Request: "first", Ends: now + 1e9}, now+1000))
 		for len(o.pending) > 0 {
-			o.settle(s, now, done)
+			o.completeCall(s, now, succeeded)
 		}
 	}
 	c.Assert(len(o.replies), qt.Equals, claims)
@@ -226,7 +226,7 @@
 	for i := range int64(claims) {
 		fresh.take(fresh.shard.Ask(now, i, claim.Claim{Key: claim.NewKey("w", fmt.Sprint(i)), Request: "second"}, now+1000))
 	}
-	fresh.settle(s, now, done)
+	fresh.completeCall(s, now, succeeded)
 	c.Assert(len(fresh.replies), qt.Equals, claims)
 	for _, r := range fresh.replies {
 		c.Assert(r.Answer.Verdict, qt.Equals, claim.Taken)
@@ -234,9 +234,10 @@
 	}
 }
 
-// TestTornSegment fills the head and lets the platform refuse the swap after the
-// segment was put away; the shard goes on all the same.
-func TestTornSegment(t *testing.T) {
+// TestSegmentWrittenHeadRejected fills the head and lets the platform reject the
+// new head after the segment has been written. The retry must not fail on the
+// segment that already exists.
+func TestSegmentWrittenHeadRejected(t *testing.T) {
 	c := qt.New(t)
 	s, o, now := newStore(), newOwner(), clock.Millis(1000)
 	ask := func(i int64) {
@@ -247,34 +248,35 @@
 	for i := range int64(full) {
 		ask(i)
 		for len(o.pending) > 0 {
-			o.settle(s, now, done)
+			o.completeCall(s, now, succeeded)
 		}
 	}
 	ask(full)
-	o.settle(s, now, torn)
+	o.completeCall(s, now, headRejected)
 	for range 6 {
 		now = now.Add(interval)
 		o.take(o.shard.Tick(now))
-		o.settle(s, now, done)
+		o.completeCall(s, now, succeeded)
 	}
 	c.Assert(o.replies, qt.HasLen, full+1)
 	c.Assert(o.replies[full].Answer.Verdict, qt.Equals, claim.Granted)
 }
 
-// TestImpatientCaller says that an owner which answers too late frees nothing:
-// the entry asked another one meanwhile, and ran.
-func TestImpatientCaller(t *testing.T) {
+// TestLateOwnerFreesNothing checks that an owner which replies Unavailable after
+// a pause does not free the key: the entry asked another owner meanwhile, and
+// ran.
+func TestLateOwnerFreesNothing(t *testing.T) {
 	c := qt.New(t)
 	s, paused, other, now := newStore(), newOwner(), newOwner(), clock.Millis(1000)
 	first := claim.Claim{Key: claim.NewKey("w", "k"), Request: "first", Ends: now + 1e9}
 	paused.take(paused.shard.Ask(now, 1, first, now.Add(500*time.Millisecond)))
-	paused.settle(s, now, done) // it reads, and its write is under way when it is paused
+	paused.completeCall(s, now, succeeded) // it is paused while its write is in progress
 	other.take(other.shard.Ask(now, 2, first, now.Add(500*time.Millisecond)))
-	other.settle(s, now, done)
-	other.settle(s, now, done)
+	other.completeCall(s, now, succeeded)
+	other.completeCall(s, now, succeeded)
 	c.Assert(other.replies[0].Answer.Verdict, qt.Equals, claim.Granted)
 	now = now.Add(5 * time.Second)
-	paused.settle(s, now, done) // a conflict
+	paused.completeCall(s, now, succeeded) // a conflict
 	paused.take(paused.shard.Tick(now))
 	c.Assert(paused.replies[0].Answer.Verdict, qt.Equals, claim.Unavailable)
 	second := claim.Claim{Key: first.Key, Request: "second", Ends: now + 1e9}
@@ -282,24 +284,24 @@
 	for range 4 {
 		now = now.Add(interval)
 		paused.take(paused.shard.Tick(now))
-		paused.settle(s, now, done)
+		paused.completeCall(s, now, succeeded)
 	}
 	c.Assert(paused.replies[1].Answer.Verdict, qt.Equals, claim.Taken)
 }
 
-// TestLostAnswer says that a claim whose write took effect without an answer is
-// still granted, and that one which was refused in time may be claimed anew.
+// TestLostAnswer checks that a claim whose write took effect is granted although
+// the answer was lost, and that a key whose request gave up can be claimed again.
 func TestLostAnswer(t *testing.T) {
 	tests := []struct {
 		name   string
-		fates  []fate
+		fates  []outcome
 		pause  time.Duration
 		first  claim.Verdict
 		second claim.Verdict
 	}{
-		{"answer comes", []fate{done, done}, interval, claim.Granted, claim.Taken},
-		{"answer lost, read back", []fate{done, lost, done}, interval, claim.Granted, claim.Taken},
-		{"outage past the deadline", []fate{done, lost}, time.Second, claim.Unavailable, claim.Granted},
+		{"answer comes", []outcome{succeeded, succeeded}, interval, claim.Granted, claim.Taken},
+		{"answer lost, read back", []outcome{succeeded, answerLost, succeeded}, interval, claim.Granted, claim.Taken},
+		{"outage past the deadline", []outcome{succeeded, answerLost}, time.Second, claim.Unavailable, claim.Granted},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -308,7 +310,7 @@
 			key := claim.NewKey("w", "k")
 			o.take(o.shard.Ask(now, 1, claim.Claim{Key: key, Request: "a", Ends: now + 1e9}, now.Add(500*time.Millisecond)))
 			for _, f := range test.fates {
-				o.settle(s, now, f)
+				o.completeCall(s, now, f)
 				now = now.Add(test.pause)
 				o.take(o.shard.Tick(now))
 			}
@@ -318,7 +320,7 @@
 			}
 			o.take(o.shard.Ask(now, 2, claim.Claim{Key: key, Request: "b", Ends: now + 1e9}, now+1e6))
 			for range 6 {
-				o.settle(s, now, done)
+				o.completeCall(s, now, succeeded)
 				now = now.Add(interval)
 				o.take(o.shard.Tick(now))
 			}
