--- a/internal/member/bench_test.go
+++ b/internal/member/bench_test.go
@@ -12,17 +12,18 @@
 	"github.com/trailshed/trailshed/internal/member"
 )
 
-// BenchmarkHeartbeat is one member's heartbeat, made, encoded, decoded and
-// heard, in a town of 24 zones with so many members each and 9 cells a zone.
+// BenchmarkHeartbeat measures building, encoding, decoding and merging one
+// heartbeat, in a cluster of 24 zones with 9 cells and the given number of
+// members each.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, each := range []int{2, 25, 75} {
 		b.Run(fmt.Sprintf("%d members a zone", each), func(b *testing.B) {
-			w := newTown(24, each)
+			w := newCluster(24, each)
 			own := w.tables[:each]
 			w.tables = append([]*member.Table{}, own...)
 			w.run(10 * time.Second)
 			table := w.tables[0]
-			foreign := newTown(24, 3)
+			foreign := newCluster(24, 3)
 			h := member.Heartbeat{From: foreign.tables[0].Self()}
 			for i, f := range foreign.tables[3:] {
 				self := f.Self()
--- a/internal/member/heartbeat.go
+++ b/internal/member/heartbeat.go
@@ -9,14 +9,15 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// Pulse is a member's beat in few bytes. Mark stands for its id and incarnation.
+// Pulse is the compact form of a member's beat counter. Mark is a hash of the
+// member's id and incarnation.
 type Pulse struct {
 	_    struct{} `cbor:",toarray"`
 	Mark uint32
 	Beat int64
 }
 
-// CellStatus is the headroom of a cell as its dispatcher last told it.
+// CellStatus is the headroom of a cell as its dispatcher last reported it.
 type CellStatus struct {
 	Cell    catalog.Cell   `cbor:"1,keyasint"`
 	Node    string         `cbor:"2,keyasint"`
@@ -25,7 +26,7 @@
 	Digest  cell.Digest    `cbor:"5,keyasint"`
 }
 
-// Heartbeat is the message between processes.
+// Heartbeat is the message by which processes exchange their views.
 type Heartbeat struct {
 	From    Member       `cbor:"1,keyasint"`
 	Members []Member     `cbor:"2,keyasint"` // a sample
@@ -33,25 +34,26 @@
 	Pulses  []Pulse      `cbor:"4,keyasint"`
 }
 
-// Beat prepares the next heartbeat; own are the cells dispatched here.
+// Beat returns the next heartbeat to send. own are the cells that this process
+// dispatches.
 func (t *Table) Beat(now clock.Millis, revision int64, own []CellStatus) Heartbeat {
 	t.self.Beat++
 	t.self.Revision = revision
 	for _, s := range own {
-		t.cells[s.Cell] = &knownCell{CellStatus: s, heard: now}
+		t.cells[s.Cell] = &knownCell{CellStatus: s, receivedAt: now}
 	}
-	h := Heartbeat{From: t.self, Cells: slices.Clone(own[:min(len(own), sampleCells)])}
+	h := Heartbeat{From: t.self, Cells: slices.Clone(own[:min(len(own), maxSampledCells)])}
 	rows := t.Live()
 	t.random.Shuffle(len(rows), func(i, j int) { rows[i], rows[j] = rows[j], rows[i] })
-	h.Pulses = t.pulses(rows)
-	for _, m := range rows[:min(len(rows), sampleMembers)] {
+	h.Pulses = t.beats(rows)
+	for _, m := range rows[:min(len(rows), maxSampledMembers)] {
 		if m.ID != t.self.ID {
 			h.Members = append(h.Members, m)
 		}
 	}
 	cells := t.Cells()
 	t.random.Shuffle(len(cells), func(i, j int) { cells[i], cells[j] = cells[j], cells[i] })
-	for _, s := range cells[:min(len(cells), sampleCells)] {
+	for _, s := range cells[:min(len(cells), maxSampledCells)] {
 		if s.Node != t.self.ID {
 			h.Cells = append(h.Cells, s)
 		}
@@ -59,38 +61,39 @@
 	return h
 }
 
-// pulses returns the beats of the whole own zone and of a part of the others.
-func (t *Table) pulses(rows []Member) []Pulse {
+// beats returns the beats of all members of the own zone and of a sample of the
+// other zones' members.
+func (t *Table) beats(rows []Member) []Pulse {
 	var all []Pulse
-	foreign := 0
+	remote := 0
 	for _, m := range rows {
 		if m.Zone != t.self.Zone {
-			foreign++
+			remote++
 		}
-		if m.Zone == t.self.Zone || foreign <= sampleForeign {
-			all = append(all, Pulse{Mark: m.mark(), Beat: m.Beat})
+		if m.Zone == t.self.Zone || remote <= maxRemoteBeats {
+			all = append(all, Pulse{Mark: m.idHash(), Beat: m.Beat})
 		}
 	}
 	return all
 }
 
-// Targets picks the peers for a heartbeat: fanout of the own zone and one of
-// another zone.
+// Targets picks the peers to send a heartbeat to: up to fanout of the own zone
+// and one of another zone.
 func (t *Table) Targets(fanout int) []netip.AddrPort {
-	var own, foreign []netip.AddrPort
+	var own, remote []netip.AddrPort
 	for _, m := range t.Live() {
 		switch {
 		case m.ID == t.self.ID:
 		case m.Zone == t.self.Zone:
 			own = append(own, m.Address)
 		default:
-			foreign = append(foreign, m.Address)
+			remote = append(remote, m.Address)
 		}
 	}
 	t.random.Shuffle(len(own), func(i, j int) { own[i], own[j] = own[j], own[i] })
 	targets := own[:min(len(own), fanout)]
-	if len(foreign) > 0 {
-		targets = append(targets, foreign[t.random.IntN(len(foreign))])
+	if len(remote) > 0 {
+		targets = append(targets, remote[t.random.IntN(len(remote))])
 	}
 	return targets
 }
--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -1,7 +1,8 @@
-// Package member keeps a process's view of the live processes and cells. The
-// view spreads by heartbeats to a few random peers, each with a sample of what
-// its sender knows, so that bytes per process stay flat as the fleet grows. Of
-// its own zone a process knows every member, of another zone a few contacts.
+// Package member keeps a process's view of the live processes and cells. Views
+// spread by gossip: heartbeats to a few random peers, each with a sample of its
+// sender's view, so that the traffic per process does not grow with the fleet.
+// A process knows every member of its own zone and a few contacts of each other
+// zone.
 package member
 
 import (
@@ -19,33 +20,34 @@
 )
 
 const (
-	// contacts is how many members of another zone are known.
-	contacts = 3
-	// sampleMembers, sampleForeign and sampleCells bound what a heartbeat
-	// passes on; of the own zone it carries every member's beat.
-	sampleMembers = 8
-	sampleForeign = 24
-	sampleCells   = 12
-	// foreignPatience is how many times longer another zone's news may take.
-	foreignPatience = 5
+	// maxContacts is how many members of another zone are known.
+	maxContacts = 3
+	// maxSampledMembers, maxRemoteBeats and maxSampledCells bound what a
+	// heartbeat forwards. The beats of the own zone's members are not limited.
+	maxSampledMembers = 8
+	maxRemoteBeats    = 24
+	maxSampledCells   = 12
+	// remoteTimeoutFactor multiplies the timeout for members and cells of other
+	// zones, whose updates take longer to arrive.
+	remoteTimeoutFactor = 5
 )
 
-// Member is one live process.
+// Member is a process of the fleet.
 type Member struct {
 	ID          string         `cbor:"1,keyasint" json:"id"`
 	Zone        string         `cbor:"2,keyasint" json:"zone"`
 	Address     netip.AddrPort `cbor:"3,keyasint" json:"address"`
 	Incarnation int64          `cbor:"4,keyasint" json:"incarnation"` // start time in milliseconds
-	Beat        int64          `cbor:"5,keyasint" json:"beat"`        // counts its heartbeats
+	Beat        int64          `cbor:"5,keyasint" json:"beat"`        // heartbeats sent
 	Leaving     bool           `cbor:"6,keyasint" json:"leaving"`
 	Revision    int64          `cbor:"7,keyasint" json:"revision"` // of its configuration
 }
 
-func (m Member) mark() uint32 {
+func (m Member) idHash() uint32 {
 	return uint32(xxhash.Sum64String(m.ID + "\x00" + strconv.FormatInt(m.Incarnation, 10)))
 }
 
-// newer says whether m tells more than o of the same process.
+// newer reports whether m is more recent than o, given the same process.
 func (m Member) newer(o Member) bool {
 	if m.Incarnation != o.Incarnation {
 		return m.Incarnation > o.Incarnation
@@ -53,63 +55,64 @@
 	return m.Beat > o.Beat
 }
 
-type known struct {
+type knownMember struct {
 	Member
-	heard clock.Millis
-	gone  bool // kept for a while so that old news does not revive it
+	receivedAt clock.Millis
+	gone       bool // expired, but kept for a while so that outdated heartbeats do not add it again
 }
 
 type knownCell struct {
 	CellStatus
-	heard clock.Millis
+	receivedAt clock.Millis
 }
 
-// Table is the view. It is not safe for concurrent use.
+// Table is a process's view of members and cells. It is not safe for concurrent
+// use.
 type Table struct {
 	self      Member
 	goneAfter time.Duration
-	members   map[string]*known
-	marks     map[uint32]*known
+	members   map[string]*knownMember
+	byHash    map[uint32]*knownMember
 	cells     map[catalog.Cell]*knownCell
 	random    *rand.Rand
 }
 
-// NewTable returns the view of a process that knows only itself.
+// NewTable returns a view that contains only self.
 func NewTable(self Member, goneAfter time.Duration, seed uint64) *Table {
 	return &Table{
-		self: self, goneAfter: goneAfter, members: map[string]*known{}, marks: map[uint32]*known{},
+		self: self, goneAfter: goneAfter, members: map[string]*knownMember{}, byHash: map[uint32]*knownMember{},
 		cells: map[catalog.Cell]*knownCell{}, random: rand.New(rand.NewPCG(seed, uint64(self.Incarnation))),
 	}
 }
 
-// Self returns this process's own row.
+// Self returns this process as a member.
 func (t *Table) Self() Member { return t.self }
 
-// Leave announces in all further heartbeats that this process will stop.
+// Leave marks this process as leaving in all further heartbeats.
 func (t *Table) Leave() { t.self.Leaving = true }
 
-// Hear takes a heartbeat and returns the ids of members that are new.
+// Hear merges a received heartbeat and returns the ids of members that joined.
 func (t *Table) Hear(now clock.Millis, h Heartbeat) (joined []string) {
 	for _, m := range append([]Member{h.From}, h.Members...) {
-		if t.observe(now, m) {
+		if t.merge(now, m) {
 			joined = append(joined, m.ID)
 		}
 	}
 	for _, p := range h.Pulses {
-		if k, ok := t.marks[p.Mark]; ok && p.Beat > k.Beat {
-			k.Beat, k.heard, k.gone = p.Beat, now, false
+		if k, ok := t.byHash[p.Mark]; ok && p.Beat > k.Beat {
+			k.Beat, k.receivedAt, k.gone = p.Beat, now, false
 		}
 	}
 	for _, s := range h.Cells {
 		old, ok := t.cells[s.Cell]
 		if !ok || s.Stamp > old.Stamp {
-			t.cells[s.Cell] = &knownCell{CellStatus: s, heard: now}
+			t.cells[s.Cell] = &knownCell{CellStatus: s, receivedAt: now}
 		}
 	}
 	return joined
 }
 
-func (t *Table) observe(now clock.Millis, m Member) (joined bool) {
+func (t *Table) merge(now clock.Millis, m Member) (joined bool) {
 	if m.ID == t.self.ID {
 		return false
 	}
@@ -117,20 +120,20 @@
 	if ok && !m.newer(old.Member) {
 		return false
 	}
-	k := &known{Member: m, heard: now}
+	k := &knownMember{Member: m, receivedAt: now}
 	if ok {
-		delete(t.marks, old.mark())
+		delete(t.byHash, old.idHash())
 	}
-	t.members[m.ID], t.marks[m.mark()] = k, k
+	t.members[m.ID], t.byHash[m.idHash()] = k, k
 	if !ok || old.gone {
-		t.trim(m.Zone)
+		t.trimZone(m.Zone)
 		return true
 	}
 	return false
 }
 
-// trim forgets the members of another zone but its contacts.
-func (t *Table) trim(zone string) {
+// trimZone removes the members of another zone that are not among its contacts.
+func (t *Table) trimZone(zone string) {
 	if zone == t.self.Zone {
 		return
 	}
@@ -143,25 +146,26 @@
 	}
 }
 
-func (t *Table) forget(k *known) {
+func (t *Table) forget(k *knownMember) {
 	delete(t.members, k.ID)
-	delete(t.marks, k.mark())
+	delete(t.byHash, k.idHash())
 }
 
-// Expire drops who was not heard of in time and returns their ids.
+// Expire marks members without a recent beat as gone and returns their ids. It
+// also removes outdated cells and members that have long been gone.
 func (t *Table) Expire(now clock.Millis) (gone []string) {
 	for id, k := range t.members {
-		silent := now.Sub(k.heard)
+		age := now.Sub(k.receivedAt)
 		switch {
-		case !k.gone && silent > t.patience(k.Zone):
+		case !k.gone && age > t.timeout(k.Zone):
 			k.gone = true
 			gone = append(gone, id)
-		case k.gone && silent > 4*t.patience(k.Zone):
+		case k.gone && age > 4*t.timeout(k.Zone):
 			t.forget(k)
 		}
 	}
 	for name, k := range t.cells {
-		if now.Sub(k.heard) > t.patience(name.Zone) {
+		if now.Sub(k.receivedAt) > t.timeout(name.Zone) {
 			delete(t.cells, name)
 		}
 	}
@@ -169,14 +173,14 @@
 	return gone
 }
 
-func (t *Table) patience(zone string) time.Duration {
+func (t *Table) timeout(zone string) time.Duration {
 	if zone == t.self.Zone {
 		return t.goneAfter
 	}
-	return foreignPatience * t.goneAfter
+	return remoteTimeoutFactor * t.goneAfter
 }
 
-// Live returns the known live members with this process, by id.
+// Live returns the live members, including this process, ordered by id.
 func (t *Table) Live() []Member {
 	live := []Member{t.self}
 	for _, k := range t.members {
@@ -188,7 +192,7 @@
 	return live
 }
 
-// Cells returns the known cells with their headroom, by name.
+// Cells returns the known cells with their headroom, ordered by name.
 func (t *Table) Cells() []CellStatus {
 	all := make([]CellStatus, 0, len(t.cells))
 	for _, k := range t.cells {
@@ -198,7 +202,7 @@
 	return all
 }
 
-// Status returns what is known of one cell.
+// Status returns the last known headroom of a cell.
 func (t *Table) Status(name catalog.Cell) (CellStatus, bool) {
 	k, ok := t.cells[name]
 	if !ok {
--- a/internal/member/table_test.go
+++ b/internal/member/table_test.go
@@ -15,20 +15,21 @@
 )
 
 const (
-	beat      = 500 * time.Millisecond
-	goneAfter = 4 * time.Second
+	heartbeatInterval = 500 * time.Millisecond
+	goneAfter         = 4 * time.Second
 )
 
-// town is tables that exchange heartbeats; a heartbeat over a cut is lost.
-type town struct {
-	now    clock.Millis
-	tables []*member.Table
-	frozen map[int]bool
-	cut    map[string]bool // zones without contact to others
+// cluster is a set of tables that exchange heartbeats. Heartbeats to frozen
+// members and to or from a partitioned zone are lost.
+type cluster struct {
+	now         clock.Millis
+	tables      []*member.Table
+	frozen      map[int]bool
+	partitioned map[string]bool // zones without connection to the others
 }
 
-func newTown(zones, each int) *town {
-	t := &town{now: 1_000_000, frozen: map[int]bool{}, cut: map[string]bool{}}
+func newCluster(zones, each int) *cluster {
+	t := &cluster{now: 1_000_000, frozen: map[int]bool{}, partitioned: map[string]bool{}}
 	for z := range zones {
 		for range each {
 			n := len(t.tables)
@@ -42,20 +43,20 @@
 	return t
 }
 
-func (t *town) send(from int, h member.Heartbeat, to netip.AddrPort) {
+func (t *cluster) send(from int, h member.Heartbeat, to netip.AddrPort) {
 	i := int(to.Port()) - 1
 	a, b := t.tables[from].Self().Zone, t.tables[i].Self().Zone
-	if t.frozen[i] || (a != b && (t.cut[a] || t.cut[b])) {
+	if t.frozen[i] || (a != b && (t.partitioned[a] || t.partitioned[b])) {
 		return
 	}
 	t.tables[i].Hear(t.now, h)
 }
 
-// run lets every table beat once an interval; each knows the first of its zone
-// and a random one as addresses of first contact.
-func (t *town) run(d time.Duration) {
+// run sends the heartbeats of all tables once per interval: to their targets
+// and, as to a seed address, to a random member.
+func (t *cluster) run(d time.Duration) {
 	random := rand.New(rand.NewPCG(1, 2))
-	for end := t.now.Add(d); t.now < end; t.now = t.now.Add(beat) {
+	for end := t.now.Add(d); t.now < end; t.now = t.now.Add(heartbeatInterval) {
 		for i, table := range t.tables {
 			if t.frozen[i] {
 				continue
@@ -70,8 +71,9 @@
 	}
 }
 
-// agreed returns the dispatcher of a cell that all awake members of a zone name.
-func (t *town) agreed(zone string) (string, bool) {
+// dispatcherOf returns the dispatcher of a cell in the zone, and whether all
+// members that are not frozen choose the same one.
+func (t *cluster) dispatcherOf(zone string) (string, bool) {
 	named := map[string]bool{}
 	last := ""
 	for i, table := range t.tables {
@@ -85,40 +87,40 @@
 	return last, len(named) == 1
 }
 
-func TestAgreement(t *testing.T) {
+func TestMembersAgreeOnDispatcher(t *testing.T) {
 	tests := []struct{ zones, each int }{{1, 2}, {3, 2}, {3, 25}, {2, 75}}
 	for _, test := range tests {
 		t.Run(fmt.Sprintf("%d zones of %d", test.zones, test.each), func(t *testing.T) {
 			c := qt.New(t)
-			w := newTown(test.zones, test.each)
+			w := newCluster(test.zones, test.each)
 			w.run(20 * time.Second)
-			old, ok := w.agreed("z0")
+			old, ok := w.dispatcherOf("z0")
 			c.Assert(ok, qt.IsTrue)
 			c.Assert(len(w.tables[0].Live()), qt.Equals, test.each+(test.zones-1)*min(test.each, 3))
 
 			for i, table := range w.tables {
 				if table.Self().ID == old {
-					w.frozen[i] = true // it is paused, and still believes
+					w.frozen[i] = true // it is paused with its old view
 				}
 			}
 			w.run(goneAfter + 3*time.Second)
-			fresh, ok := w.agreed("z0")
+			fresh, ok := w.dispatcherOf("z0")
 			c.Assert(ok, qt.IsTrue)
 			c.Assert(fresh, qt.Not(qt.Equals), old)
 
-			clear(w.frozen) // it wakes and takes its cells again
+			clear(w.frozen) // it resumes and dispatches its cells again
 			w.run(8 * time.Second)
-			back, ok := w.agreed("z0")
+			back, ok := w.dispatcherOf("z0")
 			c.Assert(ok, qt.IsTrue)
 			c.Assert(back, qt.Equals, old)
 		})
 	}
 }
 
-// TestClaimOwner says that all members of all zones name the same owner.
+// TestClaimOwner checks that the members of all zones choose the same owner.
 func TestClaimOwner(t *testing.T) {
 	c := qt.New(t)
-	w := newTown(3, 12)
+	w := newCluster(3, 12)
 	w.run(30 * time.Second)
 	for shard := range 32 {
 		owners := map[string]bool{}
@@ -131,43 +133,43 @@
 	}
 }
 
-// TestCut says that a zone that is cut off keeps its own members and finds the
-// others again.
-func TestCut(t *testing.T) {
+// TestPartitionedZoneRejoins checks that a partitioned zone keeps its own
+// members and finds the contacts of the other zones after the partition.
+func TestPartitionedZoneRejoins(t *testing.T) {
 	c := qt.New(t)
-	w := newTown(3, 4)
+	w := newCluster(3, 4)
 	w.run(20 * time.Second)
-	w.cut["z1"] = true
+	w.partitioned["z1"] = true
 	w.run(time.Minute)
 	c.Assert(w.tables[4].Live(), qt.HasLen, 4)
-	_, ok := w.agreed("z1")
+	_, ok := w.dispatcherOf("z1")
 	c.Assert(ok, qt.IsTrue)
-	clear(w.cut)
+	clear(w.partitioned)
 	w.run(30 * time.Second)
 	c.Assert(w.tables[4].Live(), qt.HasLen, 4+2*3)
 }
 
-// TestLeaving says that a leaving member gives up its roles at once, but keeps
-// them while it is the last.
-func TestLeaving(t *testing.T) {
+// TestLeavingMemberGivesUpRoles checks that a leaving member gives up its roles
+// at once, but keeps them while no other member stays.
+func TestLeavingMemberGivesUpRoles(t *testing.T) {
 	c := qt.New(t)
-	w := newTown(1, 2)
+	w := newCluster(1, 2)
 	w.run(10 * time.Second)
-	old, _ := w.agreed("z0")
+	old, _ := w.dispatcherOf("z0")
 	for _, table := range w.tables {
 		if table.Self().ID == old {
 			table.Leave()
 		}
 	}
-	w.run(beat)
-	w.run(beat)
-	fresh, ok := w.agreed("z0")
+	w.run(heartbeatInterval)
+	w.run(heartbeatInterval)
+	fresh, ok := w.dispatcherOf("z0")
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(fresh, qt.Not(qt.Equals), old)
 	for _, table := range w.tables {
 		table.Leave()
 	}
-	w.run(2 * beat)
-	_, ok = w.agreed("z0")
+	w.run(2 * heartbeatInterval)
+	_, ok = w.dispatcherOf("z0")
 	c.Assert(ok, qt.IsTrue)
 }
