--- a/internal/cell/admit.go
+++ b/internal/cell/admit.go
@@ -10,34 +10,37 @@
 )
 
 const (
-	// blockedLimit bounds how many waiting requests are tried in one go.
-	blockedLimit = 8
-	// retryBurst is the most retries that can be saved up.
-	retryBurst = 10.0
-	// retryFloor and retryCeiling bound what refused callers are told.
-	retryFloor   = 200 * time.Millisecond
-	retryCeiling = 15 * time.Second
+	// maxBlocked is the number of waiting requests without a placement after which
+	// dispatch stops trying.
+	maxBlocked = 8
+	// maxSavedRetries caps the retry budget that successes can accumulate.
+	maxSavedRetries = 10.0
+	// minRetryAfter and maxRetryAfter bound the delay after which refused
+	// callers may retry, jitter included.
+	minRetryAfter = 200 * time.Millisecond
+	maxRetryAfter = 15 * time.Second
 )
 
-// ask decides at once where it can: grant, refuse or wait.
-func (c *Cell) ask(now clock.Millis, a Ask) {
-	if c.reservations[a.Attempt] != nil || c.queue.find(a.Attempt) != nil || c.over[a.Attempt] > 0 {
-		return // asked again because the answer is late; it will come
+// admit refuses a new attempt at once if it cannot be served in time, and queues
+// it otherwise. The baselines grant without a queue.
+func (c *Cell) admit(now clock.Millis, a Ask) {
+	if c.reservations[a.Attempt] != nil || c.queue.find(a.Attempt) != nil || c.recentlyEnded[a.Attempt] > 0 {
+		return // repeated because the answer is delayed; it has been or will be sent
 	}
 	c.owners[a.Owner.id()] = max(c.owners[a.Owner.id()], now)
 	w := c.newWaiting(now, a)
 	if c.options.Policy != PolicyJoint {
-		c.grantBlindly(now, w)
+		c.grantBaseline(now, w)
 		return
 	}
 	if a.Retry {
-		if c.retries < 1 {
+		if c.retryBudget < 1 {
 			c.refuse(now, w, ReasonRetryBudget, Terms{Budget: a.Budget})
 			return
 		}
-		c.retries--
+		c.retryBudget--
 	}
-	best, ok := c.fastest(now, w)
+	best, ok := c.bestTerms(now, w)
 	if !ok {
 		c.refuse(now, w, ReasonNoEndpoint, Terms{Budget: a.Budget})
 		return
@@ -51,7 +54,7 @@
 		c.refuse(now, w, ReasonLate, best)
 		return
 	}
-	c.decide(now, a.Attempt, "waiting", best)
+	c.recordDecision(now, a.Attempt, "waiting", best)
 }
 
 func (c *Cell) newWaiting(now clock.Millis, a Ask) *waiting {
@@ -67,18 +70,19 @@
 	}
 	if a.Tokens > 0 {
 		length := c.lengths.predict(lengthKey(a.Workspace, a.Kind), a.MaxTokens)
-		w.cost *= float64(a.Tokens) + tokenCost*float64(length)
+		w.cost *= float64(a.Tokens) + outputTokenCost*float64(length)
 	}
 	return w
 }
 
-// tokenCost is an output token's work in prompt tokens: a prefill of a thousand
-// tokens costs about as much as some tens of output tokens (brief).
-const tokenCost = 25
+// outputTokenCost is the work of an output token in units of prompt tokens: the
+// prefill of a thousand tokens costs about as much as some tens of output
+// tokens, according to the requirements.
+const outputTokenCost = 25
 
-// anyRoom says whether any request could begin now, to spare the search when
-// none can.
-func (c *Cell) anyRoom(now clock.Millis) bool {
+// hasCapacity reports whether any request could start now. It spares dispatch
+// the search through the queue if none can.
+func (c *Cell) hasCapacity(now clock.Millis) bool {
 	if c.openSlots(now) == 0 {
 		return false
 	}
@@ -88,23 +92,23 @@
 			continue
 		}
 		prefill = true
-		if s.open(now, nil) && s.backlog(now) <= lookahead {
+		if s.available(now, nil) && s.backlog(now) <= maxPrefillBacklog {
 			return true
 		}
 	}
 	return !prefill
 }
 
-// dispatch grants what can begin.
+// dispatch grants the waiting requests that can start now, in queue order.
 func (c *Cell) dispatch(now clock.Millis) {
-	if len(c.queue.items) == 0 || !c.anyRoom(now) {
+	if len(c.queue.items) == 0 || !c.hasCapacity(now) {
 		return
 	}
 	c.queue.sort()
 	blocked := 0
-	for i := 0; i < len(c.queue.items) && blocked < blockedLimit; {
+	for i := 0; i < len(c.queue.items) && blocked < maxBlocked; {
 		w := c.queue.items[i]
-		p, ok := c.choose(now, w)
+		p, ok := c.choosePlacement(now, w)
 		if !ok {
 			blocked++
 			i++
@@ -112,7 +116,7 @@
 		}
 		c.queue.items = slices.Delete(c.queue.items, i, i+1)
 		if p.terms.late() {
-			c.refuse(now, w, ReasonLate, p.terms) // sooner it never will be
+			c.refuse(now, w, ReasonLate, p.terms) // it would only get later
 			continue
 		}
 		c.queue.charge(now, w)
@@ -120,12 +124,13 @@
 	}
 }
 
-// refuseLate answers every request whose first token can no longer be in time,
-// however soon it began. It runs at each tick.
+// refuseLate refuses every waiting request whose first token would be late even
+// if it started now, or that no endpoint can take any more. It runs at each
+// tick.
 func (c *Cell) refuseLate(now clock.Millis) {
 	kept := c.queue.items[:0]
 	for _, w := range c.queue.items {
-		best, ok := c.fastest(now, w)
+		best, ok := c.bestTerms(now, w)
 		best.Wait, best.Budget = now.Sub(w.since), w.ask.Budget
 		switch {
 		case !ok:
@@ -145,24 +150,24 @@
 	r := &reservation{
 		attempt: a.Attempt, owner: a.Owner, workspace: a.Workspace, kind: a.Kind, class: a.Class,
 		tokens: a.Tokens, tbt: w.tbt, decode: p.decode.Name, phase: Granted, granted: now,
-		expected: p.cached, blocks: a.Blocks, holdDecode: true,
+		expectedCached: p.cached, blocks: a.Blocks, holdDecode: true,
 	}
 	g := Grant{Attempt: a.Attempt, Decode: p.decode.Name, DecodeAddr: p.decode.Address, Terms: p.terms}
 	if p.prefill != nil {
 		r.prefill, r.holdPrefill = p.prefill.Name, true
 		r.alone = len(p.prefill.pending) == 0
 		g.Prefill, g.PrefillAddr = p.prefill.Name, p.prefill.Address
-		p.prefill.addWork(now, work{attempt: a.Attempt, took: p.prefill.prefillTime(a.Tokens, p.cached)})
+		p.prefill.addPrefill(now, prefillJob{attempt: a.Attempt, duration: p.prefill.prefillTime(a.Tokens, p.cached)})
 		p.prefill.linkUntil = now.Add(p.terms.Prefill + p.terms.Link)
-		p.prefill.health.granted()
+		p.prefill.health.recordGrant()
 	}
 	r.doneAt = now.Add(p.terms.Prefill + p.terms.Link + c.answerTime(p.decode, a.Workspace, a.Kind))
 	p.decode.used[a.Attempt] = r
-	p.decode.health.granted()
+	p.decode.health.recordGrant()
 	r.grant = g
 	c.add(r)
 	c.options.Counted("granted")
-	c.decide(now, a.Attempt, "granted "+p.describe(), p.terms)
+	c.recordDecision(now, a.Attempt, "granted "+p.describe(), p.terms)
 	c.emit(SendGrant{To: a.Owner, Grant: g})
 }
 
@@ -175,16 +180,16 @@
 
 func (c *Cell) refuse(now clock.Millis, w *waiting, reason string, t Terms) {
 	c.options.Counted("refused_" + reason)
-	c.decide(now, w.ask.Attempt, "refused: "+reason, t)
+	c.recordDecision(now, w.ask.Attempt, "refused: "+reason, t)
 	c.emit(SendRefusal{To: w.ask.Owner, Refusal: Refusal{
 		Attempt: w.ask.Attempt, Reason: reason, RetryAfter: c.retryAfter(now, w, t), Terms: t,
 	}})
 }
 
-// retryAfter is when a request like this one would be admitted, spread out so
-// that refused callers do not all come back at once.
+// retryAfter predicts when a request like this one would be admitted, with
+// jitter so that refused callers do not all retry at once.
 func (c *Cell) retryAfter(now clock.Millis, w *waiting, t Terms) time.Duration {
 	wait := c.predictWait(now, len(c.queue.items)) + t.Prefill + t.Link + t.Step - w.ask.Budget
-	spread := time.Duration(float64(max(wait, retryFloor)) * spreadOf(w.ask.Attempt))
-	return min(max(wait, retryFloor)+spread, retryCeiling)
+	spread := time.Duration(float64(max(wait, minRetryAfter)) * jitter(w.ask.Attempt))
+	return min(max(wait, minRetryAfter)+spread, maxRetryAfter)
 }
--- a/internal/cell/announce.go
+++ b/internal/cell/announce.go
@@ -7,8 +7,8 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// announce renews an entry's attempts, adopts those of a former dispatcher and
-// ends those that the entry no longer wants.
+// announce renews an entry's attempts, adopts those granted by a former
+// dispatcher and ends those that the entry no longer wants.
 func (c *Cell) announce(now clock.Millis, a Announce) {
 	c.owners[a.Owner.id()] = now
 	wanted := map[AttemptID]bool{}
@@ -19,14 +19,14 @@
 		wanted[run.Attempt] = true
 		r, ok := c.reservations[run.Attempt]
 		switch {
-		case !ok && c.over[run.Attempt] > 0: // the announcement was overtaken
+		case !ok && c.recentlyEnded[run.Attempt] > 0: // a message about its end overtook the announcement
 		case !ok:
 			c.adoptRunning(now, a.Owner, run)
 		case r.ending:
 			c.emit(SendFenced{To: a.Owner, Fenced: Fenced{Attempt: run.Attempt}})
 		}
 	}
-	for _, r := range where(c.byOwner[a.Owner.id()], func(r *reservation) bool {
+	for _, r := range selectReservations(c.byOwner[a.Owner.id()], func(r *reservation) bool {
 		return !wanted[r.attempt] && now.Sub(r.granted) > grantGrace
 	}) {
 		c.end(now, r, "entry no longer runs it")
@@ -41,7 +41,7 @@
 		switch {
 		case !granted && c.queue.find(id) == nil:
 			unknown = append(unknown, id)
-		case granted && !r.ending && now.Sub(r.granted) > grantWay:
+		case granted && !r.ending && now.Sub(r.granted) > maxGrantDelay:
 			c.options.Counted("granted_again")
 			c.emit(SendGrant{To: a.Owner, Grant: r.grant})
 		}
@@ -65,45 +65,46 @@
 	r.holdDecode = true
 	s, ok := c.servers[run.Decode]
 	if !ok {
-		return // its endpoint is not in this cell's configuration any more
+		return // its endpoint is no longer in this cell's configuration
 	}
 	c.add(r)
 	s.used[run.Attempt] = r
 	for _, server := range c.order {
-		delete(server.strangers, run.Attempt)
+		delete(server.orphans, run.Attempt)
 	}
 	c.options.Counted("adopted")
 }
 
-// expireOwners ends the attempts of entries that fell silent.
+// expireOwners ends the attempts of entries that stopped sending messages.
 func (c *Cell) expireOwners(now clock.Millis) {
-	for _, r := range where(c.reservations, func(r *reservation) bool {
-		return !r.ending && now.Sub(c.lastHeard(r)) > c.options.OwnerExpiry
+	for _, r := range selectReservations(c.reservations, func(r *reservation) bool {
+		return !r.ending && now.Sub(c.lastReceived(r)) > c.options.OwnerExpiry
 	}) {
 		c.options.Counted("owner_expired")
-		c.end(now, r, "entry "+r.owner.Node+" is silent")
+		c.end(now, r, "entry "+r.owner.Node+" stopped sending messages")
 	}
 	c.queue.items = slices.DeleteFunc(c.queue.items, func(w *waiting) bool {
 		return now.Sub(max(c.owners[w.ask.Owner.id()], w.since)) > c.options.OwnerExpiry
 	})
-	for id, at := range c.over {
-		if now.Sub(at) > overMemory {
-			delete(c.over, id)
+	for id, at := range c.recentlyEnded {
+		if now.Sub(at) > endedRetention {
+			delete(c.recentlyEnded, id)
 		}
 	}
-	for id, heard := range c.owners {
-		if now.Sub(heard) > ownerMemory {
+	for id, at := range c.owners {
+		if now.Sub(at) > ownerRetention {
 			delete(c.owners, id)
 		}
 	}
 }
 
-// overMemory is how long an ended attempt is not taken up again.
-const overMemory = 5 * time.Second
+// endedRetention is how long ended attempts are remembered, so that delayed
+// messages do not start or adopt them again.
+const endedRetention = 5 * time.Second
 
-// ownerMemory bounds how long silent entries are remembered.
-const ownerMemory = time.Minute
+// ownerRetention is how long the last announcement of an entry is remembered.
+const ownerRetention = time.Minute
 
-func (c *Cell) lastHeard(r *reservation) clock.Millis {
+func (c *Cell) lastReceived(r *reservation) clock.Millis {
 	return max(c.owners[r.owner.id()], r.granted)
 }
--- a/internal/cell/baseline.go
+++ b/internal/cell/baseline.go
@@ -7,13 +7,13 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// grantBlindly is the baselines: it grants at once, without queue, admission
-// or a look at free slots.
-func (c *Cell) grantBlindly(now clock.Millis, w *waiting) {
+// grantBaseline implements the baseline policies: it grants at once, without
+// queue, admission control or a check for free slots.
+func (c *Cell) grantBaseline(now clock.Millis, w *waiting) {
 	p := placement{terms: Terms{Budget: w.ask.Budget}}
-	p.decode = c.pick(now, w, catalog.RoleDecode) // or a plain service's
+	p.decode = c.pickBaseline(now, w, catalog.RoleDecode) // also picks plain services
 	if w.ask.Tokens > 0 {
-		p.prefill = c.pick(now, w, catalog.RolePrefill)
+		p.prefill = c.pickBaseline(now, w, catalog.RolePrefill)
 	}
 	if p.decode == nil || (w.ask.Tokens > 0 && p.prefill == nil) {
 		c.refuse(now, w, ReasonNoEndpoint, p.terms)
@@ -22,20 +22,21 @@
 	c.grant(now, w, p)
 }
 
-// pick takes the next endpoint in turn, or the one with the least reported
-// load; ties go in turn. Each role has its own turn, among those that fit.
-func (c *Cell) pick(now clock.Millis, w *waiting, role string) *server {
+// pickBaseline returns the next available endpoint in rotation, or, with
+// PolicyLagged, the one with the least reported load, with ties in rotation.
+// Prefill endpoints and the others rotate separately.
+func (c *Cell) pickBaseline(now clock.Millis, w *waiting, role string) *server {
 	var fit []*server
 	for _, s := range c.order {
-		if (s.Role == catalog.RolePrefill) == (role == catalog.RolePrefill) && s.open(now, w.ask.Avoid) {
+		if (s.Role == catalog.RolePrefill) == (role == catalog.RolePrefill) && s.available(now, w.ask.Avoid) {
 			fit = append(fit, s)
 		}
 	}
 	if len(fit) == 0 {
 		return nil
 	}
-	turn := c.turns[role]
-	c.turns[role]++
+	turn := c.rotation[role]
+	c.rotation[role]++
 	best := fit[turn%len(fit)]
 	if c.options.Policy == PolicyRoundRobin {
 		return best
@@ -49,7 +50,7 @@
 	return best
 }
 
-// spreadOf returns a number from 0 to a half that depends on the attempt alone.
-func spreadOf(id AttemptID) float64 {
+// jitter returns a fraction below 0.5 that depends on the attempt id alone.
+func jitter(id AttemptID) float64 {
 	return float64(xxhash.Sum64String(string(id))%1000) / 2000
 }
--- a/internal/cell/baseline_test.go
+++ b/internal/cell/baseline_test.go
@@ -11,13 +11,13 @@
 	"github.com/trailshed/trailshed/internal/endpoint"
 )
 
-// The baselines are as good as their kind can be, or comparisons with them say
-// nothing: without loads to tell endpoints apart, each gets its turn.
-func TestBaselinesTakeTurns(t *testing.T) {
+// Comparisons with the baselines are meaningful only if the baselines are as
+// good as their policy allows: at equal loads the endpoints must be used evenly.
+func TestBaselinesRotate(t *testing.T) {
 	for _, policy := range []string{cell.PolicyRoundRobin, cell.PolicyLagged} {
 		t.Run(policy, func(t *testing.T) {
 			c := qt.New(t)
-			p := &plant{now: 1_000_000, owners: []cell.Owner{{Node: "n", Incarnation: 1}}}
+			p := &benchCell{now: 1_000_000, owners: []cell.Owner{{Node: "n", Incarnation: 1}}}
 			p.cell = cell.New(name, p.now, cell.Options{Policy: policy, OwnerExpiry: time.Minute})
 			var members []catalog.Member
 			for _, m := range []catalog.Member{
--- a/internal/cell/bench_test.go
+++ b/internal/cell/bench_test.go
@@ -12,8 +12,8 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// plant is a cell of many endpoints in a steady state.
-type plant struct {
+// benchCell is a cell with many endpoints in a steady state.
+type benchCell struct {
 	cell    *cell.Cell
 	now     clock.Millis
 	owners  []cell.Owner
@@ -22,13 +22,13 @@
 	next    int
 }
 
-// entries is how many processes a zone has at the first letter's size.
+// entries is the number of processes of a zone at the required size.
 const entries = 75
 
-// newPlant returns a cell with a third of its endpoints for prefill, whose
-// decode slots are taken but for one at each endpoint.
-func newPlant(endpoints int) *plant {
-	p := &plant{now: 1_000_000}
+// newBenchCell returns a cell with a third of its endpoints for prefill and one
+// free slot at each decode endpoint.
+func newBenchCell(endpoints int) *benchCell {
+	p := &benchCell{now: 1_000_000}
 	var members []catalog.Member
 	for i := range endpoints {
 		m := catalog.Member{Name: fmt.Sprintf("e%02d", i), Role: catalog.RoleDecode, Slots: 20, Link: 1_000_000}
@@ -62,26 +62,26 @@
 	return p
 }
 
-func (p *plant) announce() {
+func (p *benchCell) announce() {
 	for i, o := range p.owners {
 		p.cell.Apply(p.now, cell.Announce{Cell: name, Owner: o, Running: p.running[i]})
 	}
 }
 
-func (p *plant) report() {
+func (p *benchCell) report() {
 	for _, r := range p.reports {
 		r.Began = p.now
 		p.cell.Apply(p.now, r)
 	}
 }
 
-func (p *plant) ask() cell.AttemptID {
+func (p *benchCell) ask() cell.AttemptID {
 	a := p.nextAsk()
 	p.cell.Apply(p.now, a)
 	return a.Attempt
 }
 
-func (p *plant) nextAsk() cell.Ask {
+func (p *benchCell) nextAsk() cell.Ask {
 	p.next++
 	id := cell.NewAttemptID(fmt.Sprintf("10000000-0000-0000-0000-%012d", p.next), 1)
 	blocks := make([]uint64, 24)
@@ -94,11 +94,11 @@
 	}
 }
 
-// BenchmarkRequest is one request's whole life in a dispatcher.
+// BenchmarkRequest measures all events of one request, from Ask to Finished.
 func BenchmarkRequest(b *testing.B) {
 	for _, endpoints := range []int{6, 24, 48} {
 		b.Run(fmt.Sprintf("%d endpoints", endpoints), func(b *testing.B) {
-			p := newPlant(endpoints)
+			p := newBenchCell(endpoints)
 			for b.Loop() {
 				p.now++
 				id := p.ask()
@@ -113,12 +113,12 @@
 	}
 }
 
-// BenchmarkBackground is what a dispatcher spends on a second without requests:
+// BenchmarkBackground measures one second of a dispatcher without requests:
 // ticks, announcements and reports.
 func BenchmarkBackground(b *testing.B) {
 	for _, endpoints := range []int{6, 24, 48} {
 		b.Run(fmt.Sprintf("%d endpoints", endpoints), func(b *testing.B) {
-			p := newPlant(endpoints)
+			p := newBenchCell(endpoints)
 			for b.Loop() {
 				for tick := range 100 {
 					p.now = p.now.Add(10 * time.Millisecond)
@@ -135,11 +135,12 @@
 	}
 }
 
-// BenchmarkWaiting is one ask while so many others wait and no slot is free.
+// BenchmarkWaiting measures adding and withdrawing one request while the given
+// number of others wait and no slot is free.
 func BenchmarkWaiting(b *testing.B) {
 	for _, waiting := range []int{10, 100, 400} {
 		b.Run(fmt.Sprintf("%d waiting", waiting), func(b *testing.B) {
-			p := newPlant(48)
+			p := newBenchCell(48)
 			for range 32 + waiting {
 				p.ask()
 			}
@@ -151,12 +152,12 @@
 	}
 }
 
-// BenchmarkMemory reports a busy cell's heap.
+// BenchmarkMemory measures the heap of a busy cell.
 func BenchmarkMemory(b *testing.B) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	p := newPlant(48)
+	p := newBenchCell(48)
 	for range 20_000 {
 		p.now++
 		id := p.ask()
--- a/internal/cell/cell.go
+++ b/internal/cell/cell.go
@@ -1,9 +1,9 @@
-// Package cell decides for one cell: the prefill and decode endpoints of one
-// zone and model, or the endpoints of one plain service. One dispatcher sees
-// the whole cell, so it chooses prefill endpoint, decode slot and link together
-// and promises no slot twice. Decisions are pure: Apply takes the time and an
-// event and returns effects, so the same code runs in processes, in replays and
-// in long randomised runs.
+// Package cell implements the dispatcher of one cell: the prefill and decode
+// endpoints of one zone and model, or the endpoints of one plain service. One
+// dispatcher sees the whole cell, so it chooses prefill endpoint, decode slot
+// and link together and grants no slot twice. Cell does no I/O and reads no
+// clock: Apply takes the time and an event and returns effects, so the same
+// code runs in processes, in replays and in long randomized tests.
 package cell
 
 import (
@@ -15,7 +15,8 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// The policies. Joint is the product's; the others are baselines.
+// The dispatch policies. PolicyJoint is used in production; the others are
+// baselines for comparison.
 const (
 	PolicyJoint      = "joint"
 	PolicyLagged     = "lagged"
@@ -25,38 +26,38 @@
 // Options are the settings of a cell.
 type Options struct {
 	Policy      string
-	OwnerExpiry time.Duration // how long attempts outlive their owner's silence
-	RetryShare  float64       // retries allowed per success
-	// Violated is told of every broken invariant; tests make it fatal.
+	OwnerExpiry time.Duration // how long after its owner's last message an attempt is ended
+	RetryShare  float64       // retries allowed per finished request
+	// Violated is called for every broken invariant; tests fail on it.
 	Violated func(what string)
-	// Counted is told of every decision worth a counter.
+	// Counted is called with the name of every decision to be counted.
 	Counted func(what string)
 }
 
 // Cell is the state of one dispatcher. It is not safe for concurrent use.
 type Cell struct {
-	Name    catalog.Cell
-	options Options
-	born    clock.Millis
-	catalog *catalog.Catalog
-
-	servers      map[string]*server
-	order        []*server // by name, so that decisions do not depend on map order
-	queue        queue
-	reservations map[AttemptID]*reservation
-	byOwner      map[ownerID]map[AttemptID]*reservation
-	ending       map[AttemptID]*reservation
-	swept        clock.Millis               // when everything was last looked through
-	owners       map[ownerID]clock.Millis   // when last heard
-	over         map[AttemptID]clock.Millis // ended lately
-	lengths      lengths
-	retries      float64        // budget left
-	turns        map[string]int // of the baselines, by role
-	decisions    decisions
-	effects      []Effect
+	Name      catalog.Cell
+	options   Options
+	startedAt clock.Millis
+	catalog   *catalog.Catalog
+
+	servers       map[string]*server
+	order         []*server // by name, so that decisions do not depend on map order
+	queue         queue
+	reservations  map[AttemptID]*reservation
+	byOwner       map[ownerID]map[AttemptID]*reservation
+	ending        map[AttemptID]*reservation
+	lastSweep     clock.Millis               // when sweep last ran
+	owners        map[ownerID]clock.Millis   // time of the last announcement or request
+	recentlyEnded map[AttemptID]clock.Millis // when they ended
+	lengths       lengths
+	retryBudget   float64        // retries left
+	rotation      map[string]int // next endpoint of the baselines, by role
+	decisions     decisions
+	effects       []Effect
 }
 
-// ownerID tells one life of an entry from another.
+// ownerID identifies one incarnation of an entry.
 type ownerID struct {
 	node        string
 	incarnation int64
@@ -64,7 +65,7 @@
 
 func (o Owner) id() ownerID { return ownerID{node: o.Node, incarnation: o.Incarnation} }
 
-// New returns the dispatcher of a cell that begins at now.
+// New returns the dispatcher of a cell, started at now.
 func New(name catalog.Cell, now clock.Millis, o Options) *Cell {
 	if o.Violated == nil {
 		o.Violated = func(string) {}
@@ -73,21 +74,21 @@
 		o.Counted = func(string) {}
 	}
 	return &Cell{
-		Name: name, options: o, born: now, catalog: catalog.New(),
+		Name: name, options: o, startedAt: now, catalog: catalog.New(),
 		servers: map[string]*server{}, queue: newQueue(),
 		reservations: map[AttemptID]*reservation{}, byOwner: map[ownerID]map[AttemptID]*reservation{},
 		ending: map[AttemptID]*reservation{}, owners: map[ownerID]clock.Millis{},
-		over:    map[AttemptID]clock.Millis{},
-		lengths: newLengths(), retries: retryBurst, turns: map[string]int{}, decisions: newDecisions(),
+		recentlyEnded: map[AttemptID]clock.Millis{},
+		lengths:       newLengths(), retryBudget: maxSavedRetries, rotation: map[string]int{}, decisions: newDecisions(),
 	}
 }
 
-// Apply takes one event at a moment and returns what must be done.
+// Apply processes an event and returns the effects to carry out.
 func (c *Cell) Apply(now clock.Millis, e Event) []Effect {
 	c.effects = nil
 	switch e := e.(type) {
 	case Ask:
-		c.ask(now, e)
+		c.admit(now, e)
 	case Progress:
 		c.progress(now, e)
 	case Announce:
@@ -108,23 +109,24 @@
 	return c.effects
 }
 
-// sweepInterval is how often everything is looked through. It is no event's
-// duty, so that an event's cost does not grow with the cell.
+// sweepInterval is how often all attempts are checked for expiry and broken
+// invariants. This is not done at each event, so that the cost of an event does
+// not grow with the cell.
 const sweepInterval = 100 * time.Millisecond
 
 func (c *Cell) sweep(now clock.Millis) {
-	if now.Sub(c.swept) < sweepInterval {
+	if now.Sub(c.lastSweep) < sweepInterval {
 		return
 	}
-	c.swept = now
+	c.lastSweep = now
 	c.expireOwners(now)
 	c.checkInvariants()
 }
 
 func (c *Cell) emit(e Effect) { c.effects = append(c.effects, e) }
 
-// configure takes over new members; those that are gone from the catalog keep
-// their server while attempts run there.
+// configure applies a new configuration. Endpoints that are no longer members
+// keep their server while attempts run there.
 func (c *Cell) configure(now clock.Millis, e Configured) {
 	if e.Catalog.Revision < c.catalog.Revision {
 		return // a configuration never reverts
@@ -152,11 +154,12 @@
 	for _, name := range slices.Sorted(maps.Keys(c.servers)) {
 		c.order = append(c.order, c.servers[name])
 	}
-	c.relink()
+	c.reattachReservations()
 }
 
-// relink gives servers that were made anew the reservations of their name.
-func (c *Cell) relink() {
+// reattachReservations assigns existing reservations to recreated servers of
+// the same name.
+func (c *Cell) reattachReservations() {
 	for id, r := range c.reservations {
 		if s, ok := c.servers[r.decode]; ok && r.holdDecode {
 			s.used[id] = r
@@ -164,14 +167,14 @@
 	}
 }
 
-// checkInvariants counts what must never be seen.
+// checkInvariants reports every violated invariant to Options.Violated.
 func (c *Cell) checkInvariants() {
 	if c.options.Policy != PolicyJoint {
-		return // the baselines promise slots without looking
+		return // the baselines grant slots without checking
 	}
 	for _, s := range c.order {
 		if s.Role != catalog.RolePrefill && len(s.used) > s.Slots+s.adopted() {
-			c.options.Violated("slots of " + s.Name + " promised twice")
+			c.options.Violated("slots of " + s.Name + " granted twice")
 		}
 	}
 	for id, r := range c.reservations {
@@ -184,8 +187,8 @@
 	}
 }
 
-// adopted counts reservations taken over from another dispatcher, which may
-// overlap with own ones until the endpoint refuses.
+// adopted counts reservations granted by another dispatcher. They may overlap
+// with own ones until the endpoint refuses a request.
 func (s *server) adopted() int {
 	n := 0
 	for _, r := range s.used {
@@ -196,12 +199,12 @@
 	return n
 }
 
-// Queued returns how many attempts wait.
+// Queued returns the number of waiting attempts.
 func (c *Cell) Queued() int { return len(c.queue.items) }
 
-// Digest is the headroom that entries compare cells by.
+// Digest is the headroom of a cell, by which entries compare cells.
 type Digest struct {
-	Free    int           `cbor:"1,keyasint"` // decode slots, or places of a plain service
+	Free    int           `cbor:"1,keyasint"` // decode slots, or slots of a plain service
 	Waiting int           `cbor:"2,keyasint"`
 	Wait    time.Duration `cbor:"3,keyasint"` // predicted for a new request
 }
--- a/internal/cell/cell_test.go
+++ b/internal/cell/cell_test.go
@@ -13,16 +13,18 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// freed is the longest that an engine may hold memory for the gone: until the
-// owner's expiry, and then until cancels, of which some are lost, arrive.
-const freed = 8 * time.Second
+// maxReleaseTime is how long an engine may hold an attempt after its owner is
+// gone: until the owner expires, and then until a cancel arrives, as some are
+// lost.
+const maxReleaseTime = 8 * time.Second
 
-// TestNothingHeldForTheGone lets callers give up, entries die and freeze, the
-// dispatcher restart and messages be lost, alone and together. In the end no
-// engine holds anything and no ask was answered twice.
-func TestNothingHeldForTheGone(t *testing.T) {
+// TestAbandonedAttemptsAreReleased runs a simulation in which callers give up,
+// entries die and freeze, the dispatcher restarts and messages are lost, alone
+// and together. In the end no engine holds anything, no reservation is left, no
+// request was answered twice and no invariant was violated.
+func TestAbandonedAttemptsAreReleased(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(rapid.Uint64().Draw(t, "seed"), 2, 2)
+		w := newSimulation(rapid.Uint64().Draw(t, "seed"), 2, 2)
 		w.loss = rapid.SampledFrom([]float64{0, 0.1, 0.3}).Draw(t, "loss")
 		w.run(500 * time.Millisecond)
 		for i := range rapid.IntRange(5, 60).Draw(t, "events") {
@@ -43,42 +45,42 @@
 			}
 			w.run(time.Duration(w.random.IntN(150)) * time.Millisecond)
 		}
-		w.run(6 * time.Second) // until the frozen wake
+		w.run(6 * time.Second) // until frozen entries resume
 		for _, e := range w.entries {
 			e.dead = true
 		}
-		w.run(freed)
+		w.run(maxReleaseTime)
 		if n := w.held(); n != 0 {
 			t.Fatalf("%d attempts are still held", n)
 		}
 		if left := w.cell.Running(); len(left) != 0 {
-			t.Fatalf("reservations are left: %v", left)
+			t.Fatalf("remaining reservations: %v", left)
 		}
 		for id, n := range w.answers {
 			if n > 1 {
 				t.Fatalf("%s was answered %d times", id, n)
 			}
 		}
-		if len(w.faults) > 0 {
-			t.Fatalf("invariants: %v", w.faults)
+		if len(w.violations) > 0 {
+			t.Fatalf("violated invariants: %v", w.violations)
 		}
 	})
 }
 
-// TestFreedWithin measures, in the world's own time, how long after the loss of
-// an owner its memory is free, for each way to lose it.
-func TestFreedWithin(t *testing.T) {
+// TestReleaseTime checks how long, in simulated time, the engines hold attempts
+// after their owner is lost, for each way to lose it.
+func TestReleaseTime(t *testing.T) {
 	tests := []struct {
 		name  string
-		lose  func(*world)
+		lose  func(*simulation)
 		bound time.Duration
 	}{
-		{"caller gives up", func(w *world) {
+		{"caller gives up", func(w *simulation) {
 			for id, a := range w.entries[0].attempts {
 				w.withdraw(w.entries[0], id, a)
 			}
 		}, 200 * time.Millisecond},
-		{"cancel overtakes the start", func(w *world) {
+		{"cancel overtakes the start", func(w *simulation) {
 			w.startDelay = 300 * time.Millisecond
 			w.ask(w.entries[0], "late", 1000, 0)
 			w.run(150 * time.Millisecond)
@@ -87,19 +89,19 @@
 			}
 			w.run(200 * time.Millisecond)
 		}, 500 * time.Millisecond},
-		{"entry dies", func(w *world) { w.entries[0].dead = true }, expiry + 500*time.Millisecond},
-		{"dispatcher dies", func(w *world) {
+		{"entry dies", func(w *simulation) { w.entries[0].dead = true }, expiry + 500*time.Millisecond},
+		{"dispatcher dies", func(w *simulation) {
 			w.restart()
 			w.entries[0].dead = true
 		}, 2*expiry + time.Second},
-		{"entry freezes and wakes", func(w *world) {
+		{"entry freezes and resumes", func(w *simulation) {
 			w.entries[0].frozen = w.now.Add(2 * expiry)
 		}, expiry + 500*time.Millisecond},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			w := newWorld(1, 1, 1)
+			w := newSimulation(1, 1, 1)
 			w.run(500 * time.Millisecond)
 			for i := range 3 {
 				w.ask(w.entries[0], fmt.Sprintf("r%d", i), 1000, 0)
@@ -114,32 +116,32 @@
 			for w.held() > 0 && w.now.Sub(lost) < time.Minute {
 				w.run(tick)
 			}
-			t.Logf("freed after %v", w.now.Sub(lost))
+			t.Logf("released after %v", w.now.Sub(lost))
 			c.Assert(w.now.Sub(lost) <= test.bound, qt.IsTrue, qt.Commentf("after %v", w.now.Sub(lost)))
 		})
 	}
 }
 
-// TestDrain says that a draining endpoint gets no grant from the moment its
-// dispatcher knows.
+// TestDrain checks that an endpoint gets no grants once its dispatcher knows
+// that it is draining.
 func TestDrain(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld(3, 1, 2)
+	w := newSimulation(3, 1, 2)
 	w.run(500 * time.Millisecond)
 	w.change(catalog.VerbSet, "endpoint", "d0", "state", catalog.EndpointDraining)
 	for i := range 4 {
 		w.ask(w.entries[0], fmt.Sprintf("r%d", i), 400, 0)
 	}
 	w.run(500 * time.Millisecond)
-	c.Assert(w.engines["d0"].most, qt.Equals, 0)
-	c.Assert(w.engines["d1"].most > 0, qt.IsTrue)
+	c.Assert(w.engines["d0"].maxHeld, qt.Equals, 0)
+	c.Assert(w.engines["d1"].maxHeld > 0, qt.IsTrue)
 }
 
-// TestRefusedAtOnce says that what cannot be in time is refused when that is
-// known, with when to come back, and that an empty cell takes it.
-func TestRefusedAtOnce(t *testing.T) {
+// TestLateRequestIsRefusedAtOnce checks that a request which cannot meet its
+// deadline even in an empty cell is refused at once, with the predicted times.
+func TestLateRequestIsRefusedAtOnce(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld(4, 1, 1)
+	w := newSimulation(4, 1, 1)
 	w.run(500 * time.Millisecond)
 	w.ask(w.entries[0], "long", 60_000, 0)
 	w.run(100 * time.Millisecond)
@@ -150,10 +152,11 @@
 	c.Assert(clock.Millis(0) < explained[0].At, qt.IsTrue)
 }
 
-// TestSlotsArePromisedOnce fills a pool several times over, then replaces its
-// dispatcher by one that knows nothing. No engine is ever asked to take more
-// than it has slots, as a new dispatcher first reads what its endpoints hold.
-func TestSlotsArePromisedOnce(t *testing.T) {
+// TestSlotsAreGrantedOnce sends a pool several times the requests it has slots
+// for, then replaces its dispatcher by one without state. No engine may receive
+// more requests than it has slots: a new dispatcher must first read what its
+// endpoints hold.
+func TestSlotsAreGrantedOnce(t *testing.T) {
 	tests := []struct {
 		name    string
 		restart bool
@@ -164,16 +167,16 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			w := newWorld(5, 2, 2)
-			w.longest = 20_000
+			w := newSimulation(5, 2, 2)
+			w.maxAnswer = 20_000
 			w.run(500 * time.Millisecond)
 			for i := range 40 {
 				w.ask(w.entries[i%3], fmt.Sprintf("r%d", i), 400, 0)
 				w.run(60 * time.Millisecond)
 				if i == 25 && test.restart {
-					w.run(400 * time.Millisecond) // what was granted has arrived
+					w.run(400 * time.Millisecond) // until the granted requests have arrived
 					w.restart()
-					for _, e := range w.entries { // nobody announces what runs
+					for _, e := range w.entries { // no entry announces the running attempts
 						e.frozen = w.now.Add(time.Second)
 					}
 					w.entries = nil
@@ -182,29 +185,29 @@
 					}
 				}
 			}
-			c.Assert(w.full, qt.Equals, 0)
-			c.Assert(w.engines["d0"].most, qt.Equals, decodeS)
-			c.Assert(w.faults, qt.HasLen, 0)
+			c.Assert(w.slotRefusals, qt.Equals, 0)
+			c.Assert(w.engines["d0"].maxHeld, qt.Equals, decodeSlots)
+			c.Assert(w.violations, qt.HasLen, 0)
 		})
 	}
 }
 
-// TestNewDispatcherWaits says that a dispatcher which has not heard its
-// endpoints yet lets requests wait for it and refuses none.
-func TestNewDispatcherWaits(t *testing.T) {
+// TestNewDispatcherQueuesRequests checks that a dispatcher which has no reports
+// of its endpoints yet queues requests instead of refusing them.
+func TestNewDispatcherQueuesRequests(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld(8, 1, 1)
+	w := newSimulation(8, 1, 1)
 	w.restart()
 	w.ask(w.entries[0], "early", 400, 0)
 	w.run(600 * time.Millisecond)
 	c.Assert(w.cell.Running(), qt.HasLen, 1)
 }
 
-// TestLostGrant says that a grant that did not arrive is said again, and that
-// the endpoints it named are still the ones.
-func TestLostGrant(t *testing.T) {
+// TestLostGrantIsResent checks that a lost grant is sent again, with the same
+// endpoints.
+func TestLostGrantIsResent(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld(9, 2, 2)
+	w := newSimulation(9, 2, 2)
 	w.run(500 * time.Millisecond)
 	w.loss = 1
 	w.ask(w.entries[0], "r", 400, 0)
@@ -217,10 +220,11 @@
 	c.Assert(w.answers["r.1"], qt.Equals, 1)
 }
 
-// TestRepeatedAndOvertaken gives a dispatcher messages twice and out of order.
-func TestRepeatedAndOvertaken(t *testing.T) {
+// TestDuplicateAndReorderedMessages sends a dispatcher messages twice and out of
+// order.
+func TestDuplicateAndReorderedMessages(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld(6, 1, 1)
+	w := newSimulation(6, 1, 1)
 	w.run(500 * time.Millisecond)
 	owner := w.entries[0].owner
 	ask := cell.Ask{
@@ -235,6 +239,6 @@
 	w.apply(cell.Progress{Cell: name, Attempt: "r.1", Phase: cell.Finished, Took: time.Second, Tokens: 10})
 	w.apply(cell.Announce{Cell: name, Owner: owner, Running: []cell.Running{running}})
 	c.Assert(w.cell.Running(), qt.HasLen, 0)
-	w.apply(ask) // the entry asked again before it heard the grant
+	w.apply(ask) // the entry asked again before it received the grant
 	c.Assert(w.answers["r.1"], qt.Equals, 1)
 }
--- a/internal/cell/choose.go
+++ b/internal/cell/choose.go
@@ -9,12 +9,12 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// lookahead is how much given work a prefill endpoint may have left when more is
-// granted: enough to hide the way to it, little enough that the order of service
-// is decided here and not in the endpoint's queue.
-const lookahead = 30 * time.Millisecond
+// maxPrefillBacklog is the backlog up to which a prefill endpoint is granted
+// more work: enough to hide the delay of messages to it, and small enough that
+// the order of service is decided here and not in the endpoint's queue.
+const maxPrefillBacklog = 30 * time.Millisecond
 
-// placement is where and when an attempt could run.
+// placement is a choice of endpoints for an attempt, with the predicted times.
 type placement struct {
 	prefill *server
 	decode  *server
@@ -22,10 +22,10 @@
 	terms   Terms
 }
 
-// fastest returns the terms of the best placement if nothing were in the way;
-// ok is false when no endpoint could ever take the request.
-func (c *Cell) fastest(now clock.Millis, w *waiting) (best Terms, ok bool) {
-	decode := c.emptiest(func(s *server) bool { return s.promising(now, w.ask.Avoid) })
+// bestTerms returns the terms of the best placement without any waiting; ok is
+// false if no endpoint can take the request.
+func (c *Cell) bestTerms(now clock.Millis, w *waiting) (best Terms, ok bool) {
+	decode := c.leastLoaded(func(s *server) bool { return s.mayBecomeAvailable(now, w.ask.Avoid) })
 	if decode == nil {
 		return best, false
 	}
@@ -33,8 +33,8 @@
 	if w.ask.Tokens == 0 {
 		return best, true
 	}
-	for _, p := range c.prefills(func(s *server) bool { return s.promising(now, w.ask.Avoid) }) {
-		cached := p.prefixes.expect(w.ask.Blocks, w.ask.Tokens)
+	for _, p := range c.prefillServers(func(s *server) bool { return s.mayBecomeAvailable(now, w.ask.Avoid) }) {
+		cached := p.prefixes.expectCached(w.ask.Blocks, w.ask.Tokens)
 		took, link := p.prefillTime(w.ask.Tokens, cached), p.linkTime(w.ask.Tokens)
 		if !ok || took+link < best.Prefill+best.Link {
 			best.Prefill, best.Link, best.Cached, ok = took, link, cached, true
@@ -43,7 +43,7 @@
 	return best, ok
 }
 
-func (c *Cell) prefills(fits func(*server) bool) []*server {
+func (c *Cell) prefillServers(fits func(*server) bool) []*server {
 	var open []*server
 	for _, s := range c.order {
 		if s.Role == catalog.RolePrefill && fits(s) {
@@ -53,9 +53,9 @@
 	return open
 }
 
-// emptiest returns the decode or service endpoint with the least taken part of
-// its slots among those that fit.
-func (c *Cell) emptiest(fits func(*server) bool) *server {
+// leastLoaded returns the decode or service endpoint with the lowest fraction of
+// used slots among those that fit.
+func (c *Cell) leastLoaded(fits func(*server) bool) *server {
 	var best *server
 	for _, s := range c.order {
 		if s.Role == catalog.RolePrefill || !fits(s) {
@@ -70,25 +70,26 @@
 
 func (c *Cell) firstStep(s *server) time.Duration {
 	if s.Role == catalog.RoleService {
-		return s.call
+		return s.callTime
 	}
 	return s.step.predict(len(s.used) + 1)
 }
 
-// answerTime predicts how long an answer keeps its slot.
+// answerTime predicts how long an answer occupies its slot.
 func (c *Cell) answerTime(s *server, workspace, kind string) time.Duration {
 	if s.Role == catalog.RoleService {
-		return s.call
+		return s.callTime
 	}
 	length := c.lengths.predict(lengthKey(workspace, kind), math.MaxInt)
 	return time.Duration(length) * s.step.predict(len(s.used))
 }
 
-// choose finds the placement with the earliest first token that can begin now:
-// a decode slot is free, and some prefill endpoint is about to be. Prefix
-// affinity needs no weight of its own, as it is saved time like any other.
-func (c *Cell) choose(now clock.Millis, w *waiting) (placement, bool) {
-	decode := c.emptiest(func(s *server) bool { return s.open(now, w.ask.Avoid) && s.room(w.tbt) })
+// choosePlacement returns the placement with the earliest first token, or false
+// if the request cannot start now: it needs a free decode slot and a prefill
+// endpoint whose backlog has nearly been worked off. Prefix affinity needs no
+// weight of its own, as a cached prefix shortens the predicted prefill time.
+func (c *Cell) choosePlacement(now clock.Millis, w *waiting) (placement, bool) {
+	decode := c.leastLoaded(func(s *server) bool { return s.available(now, w.ask.Avoid) && s.canAdmit(w.tbt) })
 	if decode == nil {
 		return placement{}, false
 	}
@@ -97,15 +98,15 @@
 	if w.ask.Tokens == 0 {
 		return best, true
 	}
-	open := c.prefills(func(s *server) bool { return s.open(now, w.ask.Avoid) })
-	idle := slices.ContainsFunc(open, func(s *server) bool { return s.backlog(now) <= lookahead })
+	open := c.prefillServers(func(s *server) bool { return s.available(now, w.ask.Avoid) })
+	idle := slices.ContainsFunc(open, func(s *server) bool { return s.backlog(now) <= maxPrefillBacklog })
 	if !idle {
 		return placement{}, false
 	}
 	for _, p := range open {
 		candidate := best
 		candidate.prefill = p
-		candidate.cached = p.prefixes.expect(w.ask.Blocks, w.ask.Tokens)
+		candidate.cached = p.prefixes.expectCached(w.ask.Blocks, w.ask.Tokens)
 		took := p.prefillTime(w.ask.Tokens, candidate.cached)
 		ready := p.backlog(now) + took
 		link := max(p.linkUntil.Sub(now.Add(ready)), 0) + p.linkTime(w.ask.Tokens)
--- a/internal/cell/effect.go
+++ b/internal/cell/effect.go
@@ -2,16 +2,16 @@
 
 import "net/netip"
 
-// Effect is what the dispatcher must do after a decision.
+// Effect is an operation that the dispatcher must carry out after a decision.
 type Effect interface{ effect() }
 
-// SendGrant sends a grant to the entry that asked.
+// SendGrant sends a grant to the entry that requested it.
 type SendGrant struct {
 	To    Owner
 	Grant Grant
 }
 
-// SendRefusal sends a refusal to the entry that asked.
+// SendRefusal sends a refusal to the entry that requested a grant.
 type SendRefusal struct {
 	To      Owner
 	Refusal Refusal
@@ -23,14 +23,14 @@
 	Fenced Fenced
 }
 
-// SendUnknown tells an entry which attempts to ask again.
+// SendUnknown tells an entry which attempts to request again.
 type SendUnknown struct {
 	To      Owner
 	Unknown Unknown
 }
 
-// Cancel frees an attempt's memory at an endpoint. Its result comes back as
-// Cancelled.
+// Cancel frees an attempt's memory at an endpoint. The result is applied as a
+// Cancelled event.
 type Cancel struct {
 	Endpoint string
 	Address  netip.AddrPort
--- a/internal/cell/event.go
+++ b/internal/cell/event.go
@@ -6,24 +6,24 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// Event is something that the dispatcher of a cell learns. Besides those below,
-// the messages Ask, Progress and Announce are events.
+// Event is an input to the dispatcher of a cell. Besides the types below, the
+// messages Ask, Progress and Announce are events.
 type Event interface{ event() }
 
-// Configured brings a newer catalog with the cell's own members.
+// Configured contains a newer catalog and the cell's members in it.
 type Configured struct {
 	Catalog *catalog.Catalog
 	Members []catalog.Member
 }
 
-// Reported brings an endpoint's own report, read at or after Began.
+// Reported contains an endpoint's report, read at or after Began.
 type Reported struct {
 	Endpoint string
 	Report   endpoint.Report
 	Began    clock.Millis
 }
 
-// Unreachable says that an endpoint gave no report.
+// Unreachable means that an endpoint's report could not be read.
 type Unreachable struct{ Endpoint string }
 
 // Cancelled is the result of a Cancel that reached the endpoint.
@@ -33,7 +33,7 @@
 	Known    bool // the endpoint held the attempt and freed it
 }
 
-// Tick lets time pass.
+// Tick triggers the periodic checks.
 type Tick struct{}
 
 func (Ask) event()         {}
--- a/internal/cell/explain.go
+++ b/internal/cell/explain.go
@@ -7,10 +7,10 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// decisionsKept bounds the decisions that can be asked about.
-const decisionsKept = 4096
+// maxDecisions bounds the decisions kept for Explain.
+const maxDecisions = 4096
 
-// Decision is one step in the life of an attempt, with its reason.
+// Decision is a decision on an attempt, with the predictions behind it.
 type Decision struct {
 	At      clock.Millis `cbor:"1,keyasint" json:"at"`
 	Attempt AttemptID    `cbor:"2,keyasint" json:"attempt"`
@@ -18,7 +18,7 @@
 	Terms   Terms        `cbor:"4,keyasint" json:"terms"`
 }
 
-// decisions is a ring of the latest ones.
+// decisions is a ring buffer of the latest decisions.
 type decisions struct {
 	ring []Decision
 	next int
@@ -26,14 +26,14 @@
 
 func newDecisions() decisions { return decisions{ring: make([]Decision, 0, 64)} }
 
-func (c *Cell) decide(now clock.Millis, id AttemptID, what string, t Terms) {
+func (c *Cell) recordDecision(now clock.Millis, id AttemptID, what string, t Terms) {
 	d := Decision{At: now, Attempt: id, What: what, Terms: t}
-	if len(c.decisions.ring) < decisionsKept {
+	if len(c.decisions.ring) < maxDecisions {
 		c.decisions.ring = append(c.decisions.ring, d)
 		return
 	}
 	c.decisions.ring[c.decisions.next] = d
-	c.decisions.next = (c.decisions.next + 1) % decisionsKept
+	c.decisions.next = (c.decisions.next + 1) % maxDecisions
 }
 
 // Explain returns the kept decisions about a request, oldest first.
@@ -62,10 +62,10 @@
 	Since     clock.Millis
 }
 
-// Running returns what holds a place, in a fixed order.
+// Running returns the attempts that hold reservations, ordered by id.
 func (c *Cell) Running() []Holding {
 	var all []Holding
-	for _, r := range where(c.reservations, func(*reservation) bool { return true }) {
+	for _, r := range selectReservations(c.reservations, func(*reservation) bool { return true }) {
 		phase := string(r.phase)
 		if r.ending {
 			phase = "ending"
@@ -87,7 +87,8 @@
 	Why      string
 }
 
-// Waiting returns the queue in the order of service, each with what it waits for.
+// Waiting returns the queued attempts in the order of service, each with what
+// it waits for.
 func (c *Cell) Waiting(now clock.Millis) []Pending {
 	c.queue.sort()
 	var all []Pending
@@ -105,38 +106,39 @@
 type Status struct {
 	catalog.Member
 	Used     int
-	Strange  int // held there for nobody known
+	Strange  int // attempts held there without a reservation
 	Pending  int
 	Ejected  bool
-	Silent   bool         // counts as dead
-	Urgent   bool         // its next report settles something
-	Reported int          // attempts running by its own lagging report
+	Silent   bool         // too many reports in a row failed
+	Urgent   bool         // its next report should be read soon
+	Reported int          // attempts running according to its latest report, which lags
 	Heard    clock.Millis // 0: never
 }
 
-// urgent says whether an endpoint's next report should be read soon: it was
-// never heard or gave cause for doubt, what ended there is not confirmed, or it
-// holds what nobody claims. The baselines know nothing but reports.
-func (c *Cell) urgent(s *server) bool {
-	if s.heard == 0 || s.missed > 0 || s.health.strikes > 0 || len(s.strangers) > 0 || c.options.Policy != PolicyJoint {
+// needsReport reports whether an endpoint's next report should be read soon:
+// it has not reported yet, its last report or requests failed, the release of
+// an ended attempt is unconfirmed, or it holds attempts without a reservation.
+// The baselines depend on reports alone, so they always need them.
+func (c *Cell) needsReport(s *server) bool {
+	if s.reportedAt == 0 || s.missedReports > 0 || s.health.failures > 0 || len(s.orphans) > 0 || c.options.Policy != PolicyJoint {
 		return true
 	}
 	for _, r := range c.ending {
-		if r.holdAt(s.Name) {
+		if r.holdsAt(s.Name) {
 			return true
 		}
 	}
 	return false
 }
 
-// Endpoints returns the cell's endpoints by name.
+// Endpoints returns the status of the cell's endpoints, ordered by name.
 func (c *Cell) Endpoints() []Status {
 	var all []Status
 	for _, s := range c.order {
 		all = append(all, Status{
-			Member: s.Member, Used: len(s.used), Strange: len(s.strangers), Pending: len(s.pending),
-			Ejected: s.health.ejected, Silent: s.silent(), Urgent: c.urgent(s),
-			Reported: s.report.Running, Heard: s.heard,
+			Member: s.Member, Used: len(s.used), Strange: len(s.orphans), Pending: len(s.pending),
+			Ejected: s.health.ejected, Silent: s.unreachable(), Urgent: c.needsReport(s),
+			Reported: s.report.Running, Heard: s.reportedAt,
 		})
 	}
 	return all
--- a/internal/cell/health.go
+++ b/internal/cell/health.go
@@ -7,27 +7,30 @@
 )
 
 const (
-	strikesToEject = 3
-	ejection       = 5 * time.Second // until one probe is let through
-	grayFactor     = 3               // times slower than the cell's median
+	maxFailures  = 3
+	ejectionTime = 5 * time.Second // before a request is let through as a probe
+	slowFactor   = 3               // how many times slower than the median of the others counts as a failure
 )
 
-// health decides whether an endpoint takes part. Failures and steps far slower
-// than the cell's median are strikes; enough of them in a row eject it. After a
-// while one request probes it, and its outcome readmits or ejects again.
+// health is the outlier ejection of one endpoint. Failed requests, and prefills
+// or steps far slower than the median of the other endpoints, count as failures;
+// enough of them in a row eject the endpoint. After ejectionTime one request is
+// let through as a probe; its outcome readmits the endpoint or extends the
+// ejection.
 type health struct {
-	strikes int
-	ejected bool
-	until   clock.Millis // when ejected: time of the next probe
-	probing bool
+	failures int
+	ejected  bool
+	until    clock.Millis // when ejected: time of the next probe
+	probing  bool
 }
 
-func (h *health) open(now clock.Millis) bool {
+func (h *health) available(now clock.Millis) bool {
 	return !h.ejected || (now >= h.until && !h.probing)
 }
 
-// good clears the strikes; a good probe readmits. It says whether it did.
-func (h *health) good() (readmitted bool) {
+// recordSuccess clears the failures, unless the endpoint is ejected and not
+// being probed. It reports whether a successful probe readmitted the endpoint.
+func (h *health) recordSuccess() (readmitted bool) {
 	readmitted = h.ejected && h.probing
 	if h.ejected && !readmitted {
 		return false
@@ -36,23 +39,24 @@
 	return readmitted
 }
 
-// bad adds a strike and says whether the endpoint was ejected by it. With
-// spare false the pool is at its floor and nothing is ejected.
-func (h *health) bad(now clock.Millis, spare bool) (ejected bool) {
-	h.strikes++
+// recordFailure counts a failure and reports whether it ejected the endpoint. It
+// never does if mayEject is false, as too few endpoints would stay available.
+func (h *health) recordFailure(now clock.Millis, mayEject bool) (ejected bool) {
+	h.failures++
 	switch {
 	case h.ejected && h.probing:
-		h.probing, h.until = false, now.Add(ejection)
+		h.probing, h.until = false, now.Add(ejectionTime)
 		return false
-	case h.ejected || h.strikes < strikesToEject || !spare:
+	case h.ejected || h.failures < maxFailures || !mayEject:
 		return false
 	}
-	h.ejected, h.probing, h.until = true, false, now.Add(ejection)
+	h.ejected, h.probing, h.until = true, false, now.Add(ejectionTime)
 	return true
 }
 
-// granted notes that a request went to the endpoint.
-func (h *health) granted() {
+// recordGrant records that a request was granted on the endpoint. If that is
+// ejected, the request is its probe.
+func (h *health) recordGrant() {
 	if h.ejected {
 		h.probing = true
 	}
--- a/internal/cell/health_test.go
+++ b/internal/cell/health_test.go
@@ -13,8 +13,8 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// ward is a cell whose endpoints' behaviour the test decides.
-type ward struct {
+// healthCell is a cell whose endpoints have the speeds that the test sets.
+type healthCell struct {
 	cell    *cell.Cell
 	now     clock.Millis
 	counted map[string]int
@@ -24,8 +24,8 @@
 	budget  time.Duration
 }
 
-func newWard(decodes int) *ward {
-	w := &ward{now: 1_000_000, counted: map[string]int{}, step: map[string]time.Duration{}, budget: time.Second}
+func newHealthCell(decodes int) *healthCell {
+	w := &healthCell{now: 1_000_000, counted: map[string]int{}, step: map[string]time.Duration{}, budget: time.Second}
 	members := []catalog.Member{{Name: "p0", Role: catalog.RolePrefill, Slots: 20, Link: 1_000_000}}
 	for i := range decodes {
 		members = append(members, catalog.Member{Name: fmt.Sprintf("d%d", i), Role: catalog.RoleDecode, Slots: 4, Link: 1})
@@ -44,9 +44,9 @@
 	return w
 }
 
-// serve asks for one request and lets the granted endpoint answer at its speed;
-// it returns that endpoint, or nothing when refused.
-func (w *ward) serve(retry bool) string {
+// serve requests a grant for one attempt and lets the granted endpoint answer at
+// its speed. It returns that endpoint, or "" if the request was refused.
+func (w *healthCell) serve(retry bool) string {
 	w.next++
 	id := cell.NewAttemptID(fmt.Sprint(w.next), 1)
 	w.now = w.now.Add(100 * time.Millisecond)
@@ -62,7 +62,7 @@
 	return ""
 }
 
-func (w *ward) answer(id cell.AttemptID, at string) string {
+func (w *healthCell) answer(id cell.AttemptID, at string) string {
 	const tokens = 10
 	for _, p := range []cell.Progress{
 		{Phase: cell.Prefilled, Took: time.Millisecond},
@@ -75,11 +75,11 @@
 	return at
 }
 
-// TestGrayEndpoint makes one of three endpoints ten times slower, still
-// answering. It is ejected, probed, and readmitted when it is well again.
-func TestGrayEndpoint(t *testing.T) {
+// TestSlowEndpointIsEjected makes one of three endpoints ten times slower. It
+// must be ejected, probed, and readmitted once it is fast again.
+func TestSlowEndpointIsEjected(t *testing.T) {
 	c := qt.New(t)
-	w := newWard(3)
+	w := newHealthCell(3)
 	served := func(n int) map[string]int {
 		at := map[string]int{}
 		for range n {
@@ -92,7 +92,7 @@
 	served(10)
 	c.Assert(w.counted["ejected"], qt.Equals, 1)
 	c.Assert(served(30)["d0"], qt.Equals, 0)
-	c.Assert(served(100)["d0"] <= 3, qt.IsTrue) // probes, one in five seconds
+	c.Assert(served(100)["d0"] <= 3, qt.IsTrue) // probes, one every five seconds
 	w.step["d0"] = 20 * time.Millisecond
 	served(60)
 	c.Assert(w.counted["readmitted"], qt.Equals, 1)
@@ -100,11 +100,11 @@
 	c.Assert(w.refused, qt.Equals, 0)
 }
 
-// TestNeverBelowHalf says that not more than half of a pool is ejected, however
-// bad it looks.
-func TestNeverBelowHalf(t *testing.T) {
+// TestAtMostHalfIsEjected checks that at most half of a pool is ejected, even if
+// all endpoints fail.
+func TestAtMostHalfIsEjected(t *testing.T) {
 	c := qt.New(t)
-	w := newWard(4)
+	w := newHealthCell(4)
 	for i := range 80 {
 		id := cell.NewAttemptID(fmt.Sprint(i), 1)
 		w.now = w.now.Add(10 * time.Millisecond)
@@ -127,11 +127,12 @@
 	c.Assert(ejected, qt.Equals, 2)
 }
 
-// TestSilentEndpoints says that endpoints which give no report get nothing, all
-// of them if need be, and work again from their next report on.
-func TestSilentEndpoints(t *testing.T) {
+// TestUnreachableEndpoints checks that endpoints without reports get no
+// requests, even if no other is left, and get requests again after their next
+// report.
+func TestUnreachableEndpoints(t *testing.T) {
 	c := qt.New(t)
-	w := newWard(2)
+	w := newHealthCell(2)
 	silence := func(endpoint string) {
 		for range 3 {
 			w.cell.Apply(w.now, cell.Unreachable{Endpoint: endpoint})
@@ -143,16 +144,16 @@
 	}
 	silence("d1")
 	c.Assert(w.serve(false), qt.Equals, "")
-	c.Assert(w.refused, qt.Equals, 1) // at once, so that its entry asks another zone
+	c.Assert(w.refused, qt.Equals, 1) // at once, so that its entry can try another zone
 	w.cell.Apply(w.now, cell.Reported{Endpoint: "d0", Began: w.now})
 	c.Assert(w.serve(false), qt.Equals, "d0")
 }
 
-// TestRetryBudget says that retries stay a share of the successes, so that the
-// failure of half a pool does not double the load on the rest.
+// TestRetryBudget checks that retries stay a fraction of the successes, so that
+// the failure of half a pool does not double the load on the other half.
 func TestRetryBudget(t *testing.T) {
 	c := qt.New(t)
-	w := newWard(2)
+	w := newHealthCell(2)
 	granted := 0
 	for range 200 {
 		if w.serve(true) != "" {
@@ -172,20 +173,21 @@
 	c.Assert(again >= 10 && again <= 12, qt.IsTrue, qt.Commentf("%d", again))
 }
 
-// TestGrantedOnlyInTime says that a request whose best placement would be late,
-// the way of messages included, is refused and not computed in vain.
-func TestGrantedOnlyInTime(t *testing.T) {
+// TestLateRequestIsNotGranted checks that a request whose best placement would
+// be late, including the delay of messages, is refused instead of computed in
+// vain.
+func TestLateRequestIsNotGranted(t *testing.T) {
 	tests := []struct {
 		budget time.Duration
 		want   int // refusals
 	}{
 		{200 * time.Millisecond, 0},
-		{30 * time.Millisecond, 1}, // a step of 20 ms and the way
+		{30 * time.Millisecond, 1}, // a step of 20 ms and the delay of messages
 	}
 	for _, test := range tests {
 		t.Run(test.budget.String(), func(t *testing.T) {
 			c := qt.New(t)
-			w := newWard(1)
+			w := newHealthCell(1)
 			w.budget = test.budget
 			w.serve(false)
 			c.Assert(w.refused, qt.Equals, test.want)
--- a/internal/cell/listing.go
+++ b/internal/cell/listing.go
@@ -7,14 +7,15 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// reported compares an endpoint's listing with what is reserved there.
+// reported reconciles the attempts listed in an endpoint's report with the
+// reservations there.
 func (c *Cell) reported(now clock.Millis, e Reported) {
 	s, ok := c.servers[e.Endpoint]
 	if !ok {
 		return
 	}
-	s.report, s.heard, s.missed = e.Report.Load, now, 0
-	s.prefixes.take(e.Report.Events)
+	s.report, s.reportedAt, s.missedReports = e.Report.Load, now, 0
+	s.prefixes.apply(e.Report.Events)
 	if s.Role == catalog.RoleDecode && s.report.StepUS > 0 && s.report.Running > 0 {
 		s.step.learn(s.report.Running, s.report.Step())
 	}
@@ -23,24 +24,25 @@
 		held[AttemptID(h.Attempt)] = true
 		c.checkHeld(now, s, AttemptID(h.Attempt))
 	}
-	for _, r := range where(c.ending, func(r *reservation) bool {
-		return r.holdAt(s.Name) && !held[r.attempt] && e.Began.Sub(r.endingSince) > settle
+	for _, r := range selectReservations(c.ending, func(r *reservation) bool {
+		return r.holdsAt(s.Name) && !held[r.attempt] && e.Began.Sub(r.endingSince) > maxStartDelay
 	}) {
 		c.release(now, r, s.Name)
 	}
-	for id := range s.strangers {
+	for id := range s.orphans {
 		if !held[id] {
-			delete(s.strangers, id)
+			delete(s.orphans, id)
 		}
 	}
 }
 
-func (r *reservation) holdAt(name string) bool {
+func (r *reservation) holdsAt(name string) bool {
 	return (r.prefill == name && r.holdPrefill) || (r.decode == name && r.holdDecode)
 }
 
-// checkHeld cancels what an endpoint holds for nobody. A new dispatcher first
-// gives the entries time to announce their attempts.
+// checkHeld cancels an attempt that an endpoint holds but that has ended or has
+// no reservation. A new dispatcher first gives the entries time to announce
+// their attempts.
 func (c *Cell) checkHeld(now clock.Millis, s *server, id AttemptID) {
 	if r, ok := c.reservations[id]; ok {
 		if r.ending {
@@ -48,35 +50,36 @@
 		}
 		return
 	}
-	first, ok := s.strangers[id]
+	first, ok := s.orphans[id]
 	if !ok {
-		s.strangers[id] = now
+		s.orphans[id] = now
 		return
 	}
-	if now.Sub(first) > c.options.OwnerExpiry && now.Sub(c.born) > c.options.OwnerExpiry {
+	if now.Sub(first) > c.options.OwnerExpiry && now.Sub(c.startedAt) > c.options.OwnerExpiry {
 		c.options.Counted("stranger_cancelled")
 		c.emit(Cancel{Endpoint: s.Name, Address: s.Address, Attempt: id})
 	}
 }
 
-// unreachable notes that an endpoint gave no report. What it holds stays
-// reserved until it is heard again or its attempts have long ended.
+// unreachable records that an endpoint's report could not be read. Its slots
+// stay reserved until it reports again, or until both its last report and the
+// end of their attempts are long past.
 func (c *Cell) unreachable(now clock.Millis, name string) {
 	s, ok := c.servers[name]
 	if !ok {
 		return
 	}
-	s.missed++
-	if s.missed == missedToClose {
+	s.missedReports++
+	if s.missedReports == maxMissedReports {
 		c.options.Counted("closed")
 	}
-	for _, r := range where(c.ending, func(r *reservation) bool {
-		return r.holdAt(name) && now.Sub(r.endingSince) > goneAfter && now.Sub(s.heard) > goneAfter
+	for _, r := range selectReservations(c.ending, func(r *reservation) bool {
+		return r.holdsAt(name) && now.Sub(r.endingSince) > unreachableTimeout && now.Sub(s.reportedAt) > unreachableTimeout
 	}) {
 		c.release(now, r, name)
 	}
 }
 
-// goneAfter is how long an endpoint must be silent before what it held counts
-// as gone with it.
-const goneAfter = 10 * time.Second
+// unreachableTimeout is the time without a report after which an endpoint is
+// presumed dead, and the ended attempts it held are released.
+const unreachableTimeout = 10 * time.Second
--- a/internal/cell/message.go
+++ b/internal/cell/message.go
@@ -8,23 +8,24 @@
 	"github.com/trailshed/trailshed/internal/catalog"
 )
 
-// AttemptID names one attempt at a request, as request id and number.
+// AttemptID identifies one attempt at a request: the request id, a dot and the
+// attempt's number.
 type AttemptID string
 
-// NewAttemptID returns the id of the attempt with this number, from 1.
+// NewAttemptID returns the id of an attempt at a request; numbers start at 1.
 func NewAttemptID(request string, number int) AttemptID {
 	return AttemptID(request + "." + strconv.Itoa(number))
 }
 
 // Owner is the entry that holds a caller's connection. A restarted process has
-// another incarnation, so that its former attempts are not taken for its own.
+// a new incarnation, which distinguishes its attempts from earlier ones.
 type Owner struct {
 	Node        string         `cbor:"1,keyasint"`
 	Incarnation int64          `cbor:"2,keyasint"`
 	Address     netip.AddrPort `cbor:"3,keyasint"`
 }
 
-// Ask is an entry's wish to run one attempt.
+// Ask is an entry's request for a grant to run an attempt.
 type Ask struct {
 	Cell      catalog.Cell  `cbor:"1,keyasint"`
 	Attempt   AttemptID     `cbor:"2,keyasint"`
@@ -41,7 +42,7 @@
 	Retry     bool          `cbor:"13,keyasint"`
 }
 
-// Grant lets an entry run an attempt on the named endpoints.
+// Grant permits an entry to run an attempt on the named endpoints.
 type Grant struct {
 	Attempt     AttemptID      `cbor:"1,keyasint"`
 	Prefill     string         `cbor:"2,keyasint"` // empty for a plain service
@@ -51,7 +52,7 @@
 	Terms       Terms          `cbor:"6,keyasint"`
 }
 
-// Terms are the predictions that a decision rests on.
+// Terms are the predictions on which a decision is based.
 type Terms struct {
 	Wait    time.Duration `cbor:"1,keyasint" json:"wait"`
 	Prefill time.Duration `cbor:"2,keyasint" json:"prefill"`
@@ -64,12 +65,12 @@
 // FirstToken returns the predicted time to the first token.
 func (t Terms) FirstToken() time.Duration { return t.Wait + t.Prefill + t.Link + t.Step }
 
-// margin is what messages between processes and their delays take.
-const margin = 25 * time.Millisecond
+// messageDelay is the time allowed for messages between processes.
+const messageDelay = 25 * time.Millisecond
 
-func (t Terms) late() bool { return t.FirstToken()+margin > t.Budget }
+func (t Terms) late() bool { return t.FirstToken()+messageDelay > t.Budget }
 
-// The reasons of a refusal.
+// The reasons for a refusal.
 const (
 	ReasonLate        = "first_token_late"
 	ReasonNoEndpoint  = "no_endpoint"
@@ -77,7 +78,7 @@
 	ReasonMoved       = "dispatcher_moved"
 )
 
-// Refusal says that an attempt was not run and will not be.
+// Refusal means that an attempt was not run and will not be.
 type Refusal struct {
 	Attempt    AttemptID     `cbor:"1,keyasint"`
 	Reason     string        `cbor:"2,keyasint"`
@@ -85,12 +86,12 @@
 	Terms      Terms         `cbor:"4,keyasint"`
 }
 
-// Fenced tells an entry that its attempt is no longer its own to run.
+// Fenced tells an entry that it must not run the attempt any more.
 type Fenced struct {
 	Attempt AttemptID `cbor:"1,keyasint"`
 }
 
-// Phase is how far an attempt has come.
+// Phase is a stage in the course of an attempt.
 type Phase string
 
 // The phases that entries report.
@@ -103,21 +104,21 @@
 	Withdrawn Phase = "withdrawn"
 )
 
-// Over says whether an attempt in this phase has ended.
+// Over reports whether an attempt in this phase has ended.
 func (p Phase) Over() bool { return p == Finished || p == Failed || p == Withdrawn }
 
-// Progress is an entry's report that an attempt reached a phase.
+// Progress reports that an attempt reached a phase.
 type Progress struct {
 	Cell    catalog.Cell  `cbor:"1,keyasint"`
 	Attempt AttemptID     `cbor:"2,keyasint"`
 	Phase   Phase         `cbor:"3,keyasint"`
-	Took    time.Duration `cbor:"4,keyasint"` // time of the phase that ended
+	Took    time.Duration `cbor:"4,keyasint"` // duration of the phase that ended
 	Cached  int           `cbor:"5,keyasint"` // with Prefilled: prompt tokens that were cached
 	Tokens  int           `cbor:"6,keyasint"` // with Finished: length of the answer
 	At      string        `cbor:"7,keyasint"` // with Failed: the endpoint at fault
 }
 
-// Running is one attempt in an announcement.
+// Running is a granted attempt in an announcement.
 type Running struct {
 	Attempt   AttemptID     `cbor:"1,keyasint"`
 	Phase     Phase         `cbor:"2,keyasint"`
@@ -129,8 +130,8 @@
 	TBT       time.Duration `cbor:"8,keyasint"`
 }
 
-// Announce renews an entry's attempts in one cell. Attempts that it leaves out
-// are no longer wanted.
+// Announce lists an entry's attempts in one cell and renews them. Attempts that
+// it leaves out are no longer wanted.
 type Announce struct {
 	Cell    catalog.Cell `cbor:"1,keyasint"`
 	Owner   Owner        `cbor:"2,keyasint"`
@@ -138,7 +139,8 @@
 	Waiting []AttemptID  `cbor:"4,keyasint"`
 }
 
-// Unknown answers an announcement: these waiting attempts must be asked again.
+// Unknown answers an announcement: the dispatcher does not know these waiting
+// attempts, so the entry must request them again.
 type Unknown struct {
 	Cell     catalog.Cell `cbor:"1,keyasint"`
 	Attempts []AttemptID  `cbor:"2,keyasint"`
--- a/internal/cell/prefixes.go
+++ b/internal/cell/prefixes.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	blockTokens   = 64
-	prefixesLimit = 4096 // blocks remembered for an endpoint
-	gapDistrust   = 0.5  // what trust is left after a gap in the events
+	blockTokens = 64
+	maxBlocks   = 4096 // blocks kept per endpoint
+	gapPenalty  = 0.5  // factor on the accuracy after a gap in the events
 )
 
-// prefixes is what is believed to be in an endpoint's prefix cache. Events come
-// late and with gaps, so a belief counts only as far as it has proved right.
+// prefixes is the known state of an endpoint's prefix cache. Events arrive late
+// and with gaps, so expectations are scaled by how accurate earlier ones were.
 type prefixes struct {
 	order    *list.List // least recently used first
 	blocks   map[uint64]*list.Element
 	sequence int64
-	trust    float64 // measured part of the expected cached tokens
+	accuracy float64 // measured fraction of the expected tokens that were cached
 }
 
 func newPrefixes() prefixes {
-	return prefixes{order: list.New(), blocks: map[uint64]*list.Element{}, trust: 1}
+	return prefixes{order: list.New(), blocks: map[uint64]*list.Element{}, accuracy: 1}
 }
 
-// expect returns how many of a prompt's tokens are likely cached.
-func (p *prefixes) expect(blocks []uint64, tokens int) int {
+// expectCached returns how many of a prompt's tokens are probably cached.
+func (p *prefixes) expectCached(blocks []uint64, tokens int) int {
 	n := 0
 	for _, b := range blocks {
 		if _, ok := p.blocks[b]; !ok {
@@ -34,16 +34,16 @@
 		}
 		n++
 	}
-	return int(p.trust * float64(min(n*blockTokens, tokens)))
+	return int(p.accuracy * float64(min(n*blockTokens, tokens)))
 }
 
-// learn compares what was expected with what was found.
+// learn updates the accuracy from the numbers of expected and cached tokens.
 func (p *prefixes) learn(expected, found int) {
 	if expected <= 0 {
 		return
 	}
 	right := min(float64(found)/float64(expected), 1)
-	p.trust += learning * (right - p.trust)
+	p.accuracy += ewmaWeight * (right - p.accuracy)
 }
 
 func (p *prefixes) add(blocks ...uint64) {
@@ -54,7 +54,7 @@
 		}
 		p.blocks[b] = p.order.PushBack(b)
 	}
-	for len(p.blocks) > prefixesLimit {
+	for len(p.blocks) > maxBlocks {
 		b, _ := p.order.Remove(p.order.Front()).(uint64)
 		delete(p.blocks, b)
 	}
@@ -67,14 +67,15 @@
 	}
 }
 
-// take applies events and distrusts the whole after a gap.
-func (p *prefixes) take(events []endpoint.CacheEvent) {
+// apply applies cache events and lowers the accuracy after a gap in their
+// sequence.
+func (p *prefixes) apply(events []endpoint.CacheEvent) {
 	for _, e := range events {
 		if e.Sequence <= p.sequence {
 			continue
 		}
 		if p.sequence > 0 && e.Sequence > p.sequence+1 {
-			p.trust *= gapDistrust
+			p.accuracy *= gapPenalty
 		}
 		p.sequence = e.Sequence
 		if e.Removed {
--- a/internal/cell/queue.go
+++ b/internal/cell/queue.go
@@ -9,7 +9,8 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// shareWindow is the time over which a class's granted work is counted.
+// shareWindow is the time constant with which the granted work of classes
+// decays.
 const shareWindow = 10 * time.Second
 
 // waiting is an attempt in the queue.
@@ -17,43 +18,43 @@
 	ask      Ask
 	rank     int
 	weight   float64 // of the workspace
-	cost     float64 // kind's weight times its work
-	share    float64 // floor of the class
+	cost     float64 // weight of the kind times the predicted work
+	share    float64 // minimum share of the class
 	tbt      time.Duration
 	since    clock.Millis
 	deadline clock.Millis // for the first token
 }
 
-// queue orders waiting attempts: classes below their floor, then by rank, then
-// weighted fair share between workspaces, then deadline.
+// queue orders waiting attempts: first classes below their minimum share, then
+// by rank, then by weighted fair queuing between workspaces, then by deadline.
 type queue struct {
-	items   []*waiting
-	virtual map[string]float64 // work per weight granted, by workspace
-	granted map[string]float64 // decayed work granted, by class
-	counted clock.Millis
+	items       []*waiting
+	virtualTime map[string]float64 // granted work divided by weight, by workspace
+	grantedWork map[string]float64 // granted work, decayed, by class
+	decayedAt   clock.Millis
 }
 
 func newQueue() queue {
-	return queue{virtual: map[string]float64{}, granted: map[string]float64{}}
+	return queue{virtualTime: map[string]float64{}, grantedWork: map[string]float64{}}
 }
 
 func (q *queue) add(w *waiting) {
-	q.join(w)
+	q.syncVirtualTime(w)
 	q.items = append(q.items, w)
 }
 
-// join lets a workspace that was idle begin at the present virtual time, so
-// that it neither saves up nor owes.
-func (q *queue) join(w *waiting) {
+// syncVirtualTime moves the virtual time of a workspace that was idle up to the
+// lowest one in the queue, so that idle time earns no credit.
+func (q *queue) syncVirtualTime(w *waiting) {
 	least := math.Inf(1)
 	for _, other := range q.items {
 		if other.ask.Workspace == w.ask.Workspace {
 			return
 		}
-		least = min(least, q.virtual[other.ask.Workspace])
+		least = min(least, q.virtualTime[other.ask.Workspace])
 	}
 	if !math.IsInf(least, 1) {
-		q.virtual[w.ask.Workspace] = max(q.virtual[w.ask.Workspace], least)
+		q.virtualTime[w.ask.Workspace] = max(q.virtualTime[w.ask.Workspace], least)
 	}
 }
 
@@ -72,24 +73,25 @@
 	return len(q.items) < n
 }
 
-// charge counts granted work towards the shares.
+// charge adds granted work to the workspace's virtual time and the class's
+// share.
 func (q *queue) charge(now clock.Millis, w *waiting) {
 	if len(q.items) == 0 {
-		clear(q.virtual) // nobody competes, so nothing is owed
+		clear(q.virtualTime) // without competing requests no workspace is ahead or behind
 	}
-	q.virtual[w.ask.Workspace] += w.cost / w.weight
-	keep := math.Exp(-float64(now.Sub(q.counted)) / float64(shareWindow))
-	for class := range q.granted {
-		q.granted[class] *= keep
+	q.virtualTime[w.ask.Workspace] += w.cost / w.weight
+	decay := math.Exp(-float64(now.Sub(q.decayedAt)) / float64(shareWindow))
+	for class := range q.grantedWork {
+		q.grantedWork[class] *= decay
 	}
-	q.counted = now
-	q.granted[w.ask.Class] += w.cost
+	q.decayedAt = now
+	q.grantedWork[w.ask.Class] += w.cost
 }
 
-// sort puts the queue in the order of service.
+// sort sorts the queue into the order of service.
 func (q *queue) sort() {
 	total := 0.0
-	for _, g := range q.granted {
+	for _, g := range q.grantedWork {
 		total += g
 	}
 	slices.SortStableFunc(q.items, func(a, b *waiting) int { return q.compare(a, b, total) })
@@ -99,15 +101,16 @@
 	if c := cmp.Compare(q.effectiveRank(a, total), q.effectiveRank(b, total)); c != 0 {
 		return c
 	}
-	if c := cmp.Compare(q.virtual[a.ask.Workspace], q.virtual[b.ask.Workspace]); c != 0 {
+	if c := cmp.Compare(q.virtualTime[a.ask.Workspace], q.virtualTime[b.ask.Workspace]); c != 0 {
 		return c
 	}
 	return cmp.Compare(a.deadline, b.deadline)
 }
 
-// effectiveRank raises a class above all others while it is below its floor.
+// effectiveRank returns the rank of the class, or -1, ahead of all others, while
+// the class is below its minimum share.
 func (q *queue) effectiveRank(w *waiting, total float64) int {
-	if w.share > 0 && total > 0 && q.granted[w.ask.Class] < w.share*total {
+	if w.share > 0 && total > 0 && q.grantedWork[w.ask.Class] < w.share*total {
 		return -1
 	}
 	return w.rank
--- a/internal/cell/reservation.go
+++ b/internal/cell/reservation.go
@@ -9,45 +9,47 @@
 )
 
 const (
-	// settle is how long after a cancel a start may still be on its way, so
-	// that a listing without the attempt proves nothing yet.
-	settle = 1 * time.Second
-	// grantGrace is how long an announcement may still miss a new grant;
-	// grantWay is how long a grant may be under way.
-	grantGrace = 1 * time.Second
-	grantWay   = 200 * time.Millisecond
+	// maxStartDelay is how long after a cancel the start of the attempt may still
+	// be in transit. Until then a report without the attempt does not prove that
+	// it is gone.
+	maxStartDelay = 1 * time.Second
+	// grantGrace is how long after a request or grant an announcement may still
+	// lack the attempt. maxGrantDelay is how long a grant may be in transit
+	// before it is sent again.
+	grantGrace    = 1 * time.Second
+	maxGrantDelay = 200 * time.Millisecond
 )
 
-// reservation is what an attempt holds at endpoints. It ends only when every
-// endpoint confirmed that it holds nothing, or finished by itself.
+// reservation is the capacity that an attempt holds at endpoints. It is removed
+// only once the attempt finished, or every endpoint confirmed its release.
 type reservation struct {
-	attempt     AttemptID
-	owner       Owner
-	workspace   string
-	kind        string
-	class       string
-	tokens      int
-	tbt         time.Duration
-	prefill     string
-	decode      string
-	phase       Phase
-	grant       Grant // said again when the entry does not know of it
-	granted     clock.Millis
-	expected    int // prompt tokens expected in the prefix cache
-	blocks      []uint64
-	doneAt      clock.Millis // predicted
-	holdPrefill bool
-	holdDecode  bool
-	alone       bool // its prefill began on an idle endpoint, so its time tells the speed
-	adopted     bool
-	ending      bool
-	endingSince clock.Millis
-}
-
-// progress takes an entry's report on how far an attempt is.
+	attempt        AttemptID
+	owner          Owner
+	workspace      string
+	kind           string
+	class          string
+	tokens         int
+	tbt            time.Duration
+	prefill        string
+	decode         string
+	phase          Phase
+	grant          Grant // sent again if the entry did not receive it
+	granted        clock.Millis
+	expectedCached int // prompt tokens expected in the prefix cache
+	blocks         []uint64
+	doneAt         clock.Millis // predicted
+	holdPrefill    bool
+	holdDecode     bool
+	alone          bool // its prefill was granted on an idle endpoint, so its duration measures the speed
+	adopted        bool
+	ending         bool
+	endingSince    clock.Millis
+}
+
+// progress processes an entry's report on the phase of an attempt.
 func (c *Cell) progress(now clock.Millis, p Progress) {
 	if p.Phase == Withdrawn && c.queue.remove(p.Attempt) {
-		c.decide(now, p.Attempt, "withdrawn while waiting", Terms{})
+		c.recordDecision(now, p.Attempt, "withdrawn while waiting", Terms{})
 		return
 	}
 	r, ok := c.reservations[p.Attempt]
@@ -63,7 +65,7 @@
 		c.finished(now, r, p)
 	case Failed:
 		c.options.Counted("failed")
-		c.strike(now, p.At)
+		c.recordFailure(now, p.At)
 		c.end(now, r, "failed at "+p.At)
 	case Withdrawn:
 		c.options.Counted("withdrawn")
@@ -78,11 +80,11 @@
 	if !ok {
 		return
 	}
-	s.endWork(now, r.attempt)
-	s.prefixes.learn(r.expected, p.Cached)
+	s.removePrefill(now, r.attempt)
+	s.prefixes.learn(r.expectedCached, p.Cached)
 	s.prefixes.add(r.blocks...)
 	if r.alone {
-		c.judgePrefill(now, s, r.tokens-p.Cached, p.Took)
+		c.evaluatePrefill(now, s, r.tokens-p.Cached, p.Took)
 	}
 }
 
@@ -101,30 +103,31 @@
 		c.lengths.learn(lengthKey(r.workspace, r.kind), p.Tokens)
 	}
 	if s, ok := c.servers[r.decode]; ok {
-		c.judgeDecode(now, s, p)
+		c.evaluateDecode(now, s, p)
 	}
-	c.retries = min(c.retries+c.options.RetryShare, retryBurst)
+	c.retryBudget = min(c.retryBudget+c.options.RetryShare, maxSavedRetries)
 	c.releasePrefill(now, r)
 	c.releaseDecode(now, r)
-	c.decide(now, r.attempt, "finished", Terms{})
+	c.recordDecision(now, r.attempt, "finished", Terms{})
 }
 
-// end begins to free what an attempt holds. Its places stay taken until the
-// endpoints confirm.
-func (c *Cell) end(now clock.Millis, r *reservation, why string) {
+// end starts the release of an attempt. Its capacity stays reserved until the
+// endpoints confirm the release.
+func (c *Cell) end(now clock.Millis, r *reservation, reason string) {
 	if r.ending {
 		return
 	}
 	r.ending, r.endingSince = true, now
 	c.ending[r.attempt] = r
 	if s, ok := c.servers[r.prefill]; ok {
-		s.endWork(now, r.attempt)
+		s.removePrefill(now, r.attempt)
 	}
-	c.decide(now, r.attempt, why, Terms{})
+	c.recordDecision(now, r.attempt, reason, Terms{})
 	c.cancel(now, r)
 }
 
-// cancel asks every endpoint that may hold the attempt to free it.
+// cancel requests the release of an attempt from every endpoint that may hold
+// it.
 func (c *Cell) cancel(now clock.Millis, r *reservation) {
 	if r.holdPrefill {
 		c.cancelAt(now, r, r.prefill)
@@ -137,14 +140,15 @@
 func (c *Cell) cancelAt(now clock.Millis, r *reservation, name string) {
 	s, ok := c.servers[name]
 	if !ok {
-		c.release(now, r, name) // no endpoint of this name is left
+		c.release(now, r, name) // the endpoint no longer exists
 		return
 	}
 	c.emit(Cancel{Endpoint: name, Address: s.Address, Attempt: r.attempt})
 }
 
-// cancelled takes an endpoint's confirmation. An endpoint that held nothing may
-// still receive the start, so its report does not count; its listing will.
+// cancelled processes the result of a cancel. If the endpoint did not hold the
+// attempt, its start may still arrive, so only a later report confirms the
+// release.
 func (c *Cell) cancelled(now clock.Millis, e Cancelled) {
 	r, ok := c.reservations[e.Attempt]
 	if !ok || !r.ending || !e.Known {
@@ -165,9 +169,9 @@
 func (c *Cell) releasePrefill(now clock.Millis, r *reservation) {
 	r.holdPrefill = false
 	if s, ok := c.servers[r.prefill]; ok {
-		s.endWork(now, r.attempt)
+		s.removePrefill(now, r.attempt)
 	}
-	c.forget(now, r)
+	c.removeIfReleased(now, r)
 }
 
 func (c *Cell) releaseDecode(now clock.Millis, r *reservation) {
@@ -175,17 +179,17 @@
 	if s, ok := c.servers[r.decode]; ok {
 		delete(s.used, r.attempt)
 	}
-	c.forget(now, r)
+	c.removeIfReleased(now, r)
 }
 
-func (c *Cell) forget(now clock.Millis, r *reservation) {
+func (c *Cell) removeIfReleased(now clock.Millis, r *reservation) {
 	if !r.holdPrefill && !r.holdDecode {
 		c.remove(r)
-		c.over[r.attempt] = now
+		c.recentlyEnded[r.attempt] = now
 	}
 }
 
-// add takes up a reservation; remove drops it.
+// add indexes a reservation by attempt and owner.
 func (c *Cell) add(r *reservation) {
 	c.reservations[r.attempt] = r
 	owned, ok := c.byOwner[r.owner.id()]
@@ -206,8 +210,8 @@
 	}
 }
 
-// where returns the reservations that match, in a fixed order.
-func where(all map[AttemptID]*reservation, match func(*reservation) bool) []*reservation {
+// selectReservations returns the reservations that match, ordered by attempt.
+func selectReservations(all map[AttemptID]*reservation, match func(*reservation) bool) []*reservation {
 	var found []*reservation
 	for _, r := range all {
 		if match(r) {
--- a/internal/cell/server.go
+++ b/internal/cell/server.go
@@ -9,112 +9,115 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// Defaults until an endpoint's own speed has been measured.
+// Estimates until an endpoint's speed has been measured, and their smoothing.
 const (
-	defaultPrefillRate = 15_000.0 // tokens a second
-	defaultCall        = 30 * time.Millisecond
-	learning           = 0.2 // weight of a new measurement
+	defaultPrefillRate = 15_000.0 // tokens per second
+	defaultCallTime    = 30 * time.Millisecond
+	ewmaWeight         = 0.2 // weight of a new measurement
 )
 
-// work is one prefill that an endpoint has been given and not yet finished.
-type work struct {
-	attempt AttemptID
-	took    time.Duration // predicted
+// prefillJob is a granted prefill that its endpoint has not finished yet.
+type prefillJob struct {
+	attempt  AttemptID
+	duration time.Duration // predicted
 }
 
-// server is one endpoint with what the dispatcher promised and learned of it.
+// server is an endpoint with its reservations, measurements and health.
 type server struct {
 	catalog.Member
-	health health
-	report endpoint.Load
-	heard  clock.Millis // when the last report came
-	missed int          // reports in a row that did not come
-	added  clock.Millis // when the dispatcher learned of it
-
-	// Prefill: a serial server in front of a serial link.
-	pending   []work
+	health        health
+	report        endpoint.Load
+	reportedAt    clock.Millis // time of the last report, 0 if none
+	missedReports int          // reports in a row that could not be read
+	addedAt       clock.Millis // when it was first configured here
+
+	// Prefill: jobs run one at a time, followed by transfers over a serial link.
+	pending   []prefillJob
 	headSince clock.Millis
 	linkUntil clock.Millis
-	rate      float64 // tokens a second
+	rate      float64 // tokens per second
 	prefixes  prefixes
 
 	// Decode and plain service: slots.
-	used      map[AttemptID]*reservation
-	strangers map[AttemptID]clock.Millis // held here for nobody known, since when
-	step      stepModel
-	call      time.Duration // plain service: mean time of a call
+	used     map[AttemptID]*reservation
+	orphans  map[AttemptID]clock.Millis // held here without a reservation, with the time first seen
+	step     stepModel
+	callTime time.Duration // plain service: mean time of a call
 }
 
 func newServer(m catalog.Member, now clock.Millis) *server {
 	return &server{
-		Member: m, added: now, rate: defaultPrefillRate, call: defaultCall,
+		Member: m, addedAt: now, rate: defaultPrefillRate, callTime: defaultCallTime,
 		prefixes: newPrefixes(), used: map[AttemptID]*reservation{},
-		strangers: map[AttemptID]clock.Millis{},
+		orphans: map[AttemptID]clock.Millis{},
 	}
 }
 
-// open says whether the server may be given new work. It must have reported
-// once, so that a new dispatcher knows what a former one gave it.
-func (s *server) open(now clock.Millis, avoid []string) bool {
-	return s.heard > 0 && !s.silent() && !s.Draining && s.health.open(now) && !slices.Contains(avoid, s.Name)
+// available reports whether the server can be granted new work. It must have
+// reported once, so that a new dispatcher knows what a former one granted there.
+func (s *server) available(now clock.Millis, avoid []string) bool {
+	return s.reportedAt > 0 && !s.unreachable() && !s.Draining && s.health.available(now) && !slices.Contains(avoid, s.Name)
 }
 
-// promising says whether the server is open or, as it is new here, may be as
-// soon as it is heard.
-func (s *server) promising(now clock.Millis, avoid []string) bool {
-	if s.heard > 0 {
-		return s.open(now, avoid)
+// mayBecomeAvailable reports whether the server is available, or is new and may
+// become available with its first report.
+func (s *server) mayBecomeAvailable(now clock.Millis, avoid []string) bool {
+	if s.reportedAt > 0 {
+		return s.available(now, avoid)
 	}
-	return !s.Draining && !slices.Contains(avoid, s.Name) && now.Sub(s.added) < unheardPatience
+	return !s.Draining && !slices.Contains(avoid, s.Name) && now.Sub(s.addedAt) < firstReportTimeout
 }
 
-// missedToClose is how many reports in a row must fail for an endpoint to count
-// as dead. Unlike a slow one it gets nothing, even when it is the last.
-const missedToClose = 3
+// maxMissedReports is how many reports in a row must fail for an endpoint to be
+// considered unreachable. Unlike a slow endpoint it then gets no work, even if
+// no other is left.
+const maxMissedReports = 3
 
-// unheardPatience is how long requests may wait for an endpoint that has not
-// been heard since its dispatcher learned of it.
-const unheardPatience = time.Second
+// firstReportTimeout is how long requests may wait for the first report of a
+// newly configured endpoint.
+const firstReportTimeout = time.Second
 
-// free returns how many slots nobody holds.
-func (s *server) free() int { return max(s.Slots-len(s.used)-len(s.strangers), 0) }
+// free returns the number of slots that no attempt holds.
+func (s *server) free() int { return max(s.Slots-len(s.used)-len(s.orphans), 0) }
 
-// busy says whether any attempt holds a place.
+// busy reports whether any attempt holds capacity.
 func (s *server) busy() bool { return len(s.used) > 0 || len(s.pending) > 0 }
 
-// silent says whether the server counts as dead.
-func (s *server) silent() bool { return s.missed >= missedToClose }
+// unreachable reports whether too many reports in a row failed.
+func (s *server) unreachable() bool { return s.missedReports >= maxMissedReports }
 
-// busyUntil predicts when all given prefills are finished.
+// busyUntil predicts when all pending prefills are finished.
 func (s *server) busyUntil(now clock.Millis) clock.Millis {
 	until := s.headSince
 	for _, w := range s.pending {
-		until = until.Add(w.took)
+		until = until.Add(w.duration)
 	}
 	return max(until, now)
 }
 
 func (s *server) backlog(now clock.Millis) time.Duration { return s.busyUntil(now).Sub(now) }
 
-// prefillTime predicts how long a prompt takes with what is cached of it.
+// prefillTime predicts the prefill duration of a prompt of which cached tokens
+// are in the prefix cache.
 func (s *server) prefillTime(tokens, cached int) time.Duration {
 	return time.Duration(float64(tokens-cached) / s.rate * float64(time.Second))
 }
 
-// linkTime is how long the transfer of a prompt's KV cache takes.
+// linkTime returns the transfer duration of a prompt's KV cache.
 func (s *server) linkTime(tokens int) time.Duration {
 	return time.Duration(tokens) * time.Second / time.Duration(s.Link)
 }
 
-func (s *server) addWork(now clock.Millis, w work) {
+func (s *server) addPrefill(now clock.Millis, w prefillJob) {
 	if len(s.pending) == 0 {
 		s.headSince = now
 	}
 	s.pending = append(s.pending, w)
 }
 
-// endWork removes a prefill; the next one in line begins.
-func (s *server) endWork(now clock.Millis, id AttemptID) {
+// removePrefill removes a pending prefill. If it was the first, the next one
+// starts now.
+func (s *server) removePrefill(now clock.Millis, id AttemptID) {
 	for i, w := range s.pending {
 		if w.attempt != id {
 			continue
@@ -127,20 +130,22 @@
 	}
 }
 
-// learnRate takes the measured time of a prefill that ran alone.
+// learnRate updates the prefill rate from a prefill that ran alone.
 func (s *server) learnRate(tokens int, took time.Duration) {
 	if tokens < minLearnTokens || took <= 0 {
 		return
 	}
-	s.rate += learning * (float64(tokens)/took.Seconds() - s.rate)
+	s.rate += ewmaWeight * (float64(tokens)/took.Seconds() - s.rate)
 }
 
-// minLearnTokens is the least prefill whose time tells of the speed.
+// minLearnTokens is the smallest prefill, in tokens, whose duration is used to
+// measure the rate.
 const minLearnTokens = 128
 
-// room says whether another request may join without making any running
-// request's time between tokens late.
-func (s *server) room(tbt time.Duration) bool {
+// canAdmit reports whether a slot is free and another decode request would keep
+// the predicted step time within the time-between-tokens targets of all running
+// requests and its own, tbt.
+func (s *server) canAdmit(tbt time.Duration) bool {
 	if s.free() == 0 {
 		return false
 	}
@@ -155,7 +160,8 @@
 	return tbt <= 0 || s.step.predict(len(s.used)+1) <= tbt
 }
 
-// stepModel learns a decode step's duration as a line over the occupancy.
+// stepModel predicts a decode step's duration by a linear regression over the
+// number of running requests, with older samples decayed.
 type stepModel struct {
 	n, x, y, xx, xy float64 // decayed sums
 }
@@ -171,7 +177,7 @@
 	m.xy = m.xy*stepDecay + x*y
 }
 
-// predict returns the step at an occupancy; 0 while nothing is known.
+// predict returns the step duration at an occupancy, or 0 without samples.
 func (m *stepModel) predict(occupancy int) time.Duration {
 	if m.n < 1 {
 		return 0
