--- a/internal/claim/shard_test.go
+++ b/internal/claim/shard_test.go
@@ -51,7 +51,7 @@
 
 func newOwner() *owner { return &owner{shard: claim.NewShard(3, interval)} }
 
-func (o *owner) take(effects []claim.Effect) {
+func (o *owner) addEffects(effects []claim.Effect) {
 	for _, e := range effects {
 		if r, ok := e.(claim.Reply); ok {
 			o.replies = append(o.replies, r)
@@ -81,10 +81,10 @@
 	switch e := e.(type) {
 	case claim.Load:
 		if f != succeeded {
-			o.take(o.shard.Failed(now))
+			o.addEffects(o.shard.Failed(now))
 			return
 		}
-		o.take(o.shard.Loaded(now, s.list()))
+		o.addEffects(o.shard.Loaded(now, s.list()))
 	case claim.Write:
 		o.write(s, now, e, f)
 	case claim.Delete:
@@ -102,10 +102,10 @@
 		version, ok = s.put(e.Key, e.Value, e.Version)
 	}
 	if !ok || f == answerLost || f == headRejected {
-		o.take(o.shard.Failed(now))
+		o.addEffects(o.shard.Failed(now))
 		return
 	}
-	o.take(o.shard.Written(now, version))
+	o.addEffects(o.shard.Written(now, version))
 }
 
 // caller is a request that needs its claim: it asks one owner, may ask another
@@ -135,7 +135,7 @@
 	r.byNumber[r.number] = c
 	c.lastAsk = r.number
 	c.asked++
-	o.take(o.shard.Ask(r.now, r.number, c.claim, r.now.Add(500*time.Millisecond)))
+	o.addEffects(o.shard.Ask(r.now, r.number, c.claim, r.now.Add(500*time.Millisecond)))
 }
 
 // check acts on an owner's replies as an entry does: only the answer to the
@@ -191,7 +191,7 @@
 				o.completeCall(r.store, r.now, outcome(rapid.IntRange(0, 2).Draw(t, "fate")))
 			case 7, 8:
 				r.now = r.now.Add(time.Duration(rapid.IntRange(1, 300).Draw(t, "pause")) * time.Millisecond)
-				o.take(o.shard.Tick(r.now))
+				o.addEffects(o.shard.Tick(r.now))
 			case 9:
 				*o = *newOwner() // a crash, which loses the waiting asks
 			default:
@@ -215,20 +215,20 @@
 	const claims = 1200
 	for i := range int64(claims) {
 		now = now.Add(interval)
-		o.take(o.shard.Ask(now, i, claim.Claim{Key: claim.NewKey("w", fmt.Sprint(i)), Request: "first", Ends: now + 1e9}, now+1000))
+		o.addEffects(o.shard.Ask(now, i, claim.Claim{Key: claim.NewKey("w", fmt.Sprint(i)), Request: "first", Ends: now + 1e9}, now+1000))
 		for len(o.pending) > 0 {
 			o.completeCall(s, now, succeeded)
 		}
 	}
 	c.Assert(len(o.replies), qt.Equals, claims)
 	c.Assert(len(s.entries), qt.Equals, 3) // the head and two segments
-	fresh := newOwner()
+	second := newOwner()
 	for i := range int64(claims) {
-		fresh.take(fresh.shard.Ask(now, i, claim.Claim{Key: claim.NewKey("w", fmt.Sprint(i)), Request: "second"}, now+1000))
+		second.addEffects(second.shard.Ask(now, i, claim.Claim{Key: claim.NewKey("w", fmt.Sprint(i)), Request: "second"}, now+1000))
 	}
-	fresh.completeCall(s, now, succeeded)
-	c.Assert(len(fresh.replies), qt.Equals, claims)
-	for _, r := range fresh.replies {
+	second.completeCall(s, now, succeeded)
+	c.Assert(len(second.replies), qt.Equals, claims)
+	for _, r := range second.replies {
 		c.Assert(r.Answer.Verdict, qt.Equals, claim.Taken)
 		c.Assert(r.Answer.Claim.Request, qt.Equals, "first")
 	}
@@ -242,7 +242,7 @@
 	s, o, now := newStore(), newOwner(), clock.Millis(1000)
 	ask := func(i int64) {
 		now = now.Add(interval)
-		o.take(o.shard.Ask(now, i, claim.Claim{Key: claim.NewKey("w", fmt.Sprint(i)), Request: "r", Ends: now + 1e9}, now+10_000))
+		o.addEffects(o.shard.Ask(now, i, claim.Claim{Key: claim.NewKey("w", fmt.Sprint(i)), Request: "r", Ends: now + 1e9}, now+10_000))
 	}
 	const full = 512
 	for i := range int64(full) {
@@ -255,7 +255,7 @@
 	o.completeCall(s, now, headRejected)
 	for range 6 {
 		now = now.Add(interval)
-		o.take(o.shard.Tick(now))
+		o.addEffects(o.shard.Tick(now))
 		o.completeCall(s, now, succeeded)
 	}
 	c.Assert(o.replies, qt.HasLen, full+1)
@@ -269,21 +269,21 @@
 	c := qt.New(t)
 	s, paused, other, now := newStore(), newOwner(), newOwner(), clock.Millis(1000)
 	first := claim.Claim{Key: claim.NewKey("w", "k"), Request: "first", Ends: now + 1e9}
-	paused.take(paused.shard.Ask(now, 1, first, now.Add(500*time.Millisecond)))
+	paused.addEffects(paused.shard.Ask(now, 1, first, now.Add(500*time.Millisecond)))
 	paused.completeCall(s, now, succeeded) // it is paused while its write is in progress
-	other.take(other.shard.Ask(now, 2, first, now.Add(500*time.Millisecond)))
+	other.addEffects(other.shard.Ask(now, 2, first, now.Add(500*time.Millisecond)))
 	other.completeCall(s, now, succeeded)
 	other.completeCall(s, now, succeeded)
 	c.Assert(other.replies[0].Answer.Verdict, qt.Equals, claim.Granted)
 	now = now.Add(5 * time.Second)
 	paused.completeCall(s, now, succeeded) // a conflict
-	paused.take(paused.shard.Tick(now))
+	paused.addEffects(paused.shard.Tick(now))
 	c.Assert(paused.replies[0].Answer.Verdict, qt.Equals, claim.Unavailable)
 	second := claim.Claim{Key: first.Key, Request: "second", Ends: now + 1e9}
-	paused.take(paused.shard.Ask(now, 3, second, now.Add(500*time.Millisecond)))
+	paused.addEffects(paused.shard.Ask(now, 3, second, now.Add(500*time.Millisecond)))
 	for range 4 {
 		now = now.Add(interval)
-		paused.take(paused.shard.Tick(now))
+		paused.addEffects(paused.shard.Tick(now))
 		paused.completeCall(s, now, succeeded)
 	}
 	c.Assert(paused.replies[1].Answer.Verdict, qt.Equals, claim.Taken)
@@ -293,11 +293,11 @@
 // the answer was lost, and that a key whose request gave up can be claimed again.
 func TestLostAnswer(t *testing.T) {
 	tests := []struct {
-		name   string
-		fates  []outcome
-		pause  time.Duration
-		first  claim.Verdict
-		second claim.Verdict
+		name     string
+		outcomes []outcome
+		pause    time.Duration
+		first    claim.Verdict
+		second   claim.Verdict
 	}{
 		{"answer comes", []outcome{succeeded, succeeded}, interval, claim.Granted, claim.Taken},
 		{"answer lost, read back", []outcome{succeeded, answerLost, succeeded}, interval, claim.Granted, claim.Taken},
@@ -308,21 +308,21 @@
 			c := qt.New(t)
 			s, o, now := newStore(), newOwner(), clock.Millis(1000)
 			key := claim.NewKey("w", "k")
-			o.take(o.shard.Ask(now, 1, claim.Claim{Key: key, Request: "a", Ends: now + 1e9}, now.Add(500*time.Millisecond)))
-			for _, f := range test.fates {
+			o.addEffects(o.shard.Ask(now, 1, claim.Claim{Key: key, Request: "a", Ends: now + 1e9}, now.Add(500*time.Millisecond)))
+			for _, f := range test.outcomes {
 				o.completeCall(s, now, f)
 				now = now.Add(test.pause)
-				o.take(o.shard.Tick(now))
+				o.addEffects(o.shard.Tick(now))
 			}
 			c.Assert(o.replies[0].Answer.Verdict, qt.Equals, test.first)
 			if test.first == claim.Unavailable {
 				o.shard.Abandon(key, "a") // its entry gave up
 			}
-			o.take(o.shard.Ask(now, 2, claim.Claim{Key: key, Request: "b", Ends: now + 1e9}, now+1e6))
+			o.addEffects(o.shard.Ask(now, 2, claim.Claim{Key: key, Request: "b", Ends: now + 1e9}, now+1e6))
 			for range 6 {
 				o.completeCall(s, now, succeeded)
 				now = now.Add(interval)
-				o.take(o.shard.Tick(now))
+				o.addEffects(o.shard.Tick(now))
 			}
 			c.Assert(o.replies[1].Answer.Verdict, qt.Equals, test.second)
 		})
