--- a/internal/cell/announce.go
+++ b/internal/cell/announce.go
@@ -91,8 +91,8 @@
 			delete(c.recentlyEnded, id)
 		}
 	}
-	for id, at := range c.owners {
-		if now.Sub(at) > ownerRetention {
+	for id, received := range c.owners {
+		if now.Sub(received) > ownerRetention {
 			delete(c.owners, id)
 		}
 	}
