--- a/internal/dispatcher/cancels.go
+++ b/internal/dispatcher/cancels.go
@@ -6,8 +6,9 @@
 	"github.com/trailshed/trailshed/internal/cell"
 )
 
-// cancelLoop is one worker of the pool that carries cancels to endpoints. A
-// cancel that fails is not repeated here: the endpoint's listing decides.
+// cancelLoop is one worker of the pool that sends cancel requests to endpoints.
+// It does not retry a failed cancel: the endpoint's next listing shows whether
+// the attempt is still held.
 func (d *Dispatcher) cancelLoop(ctx context.Context) {
 	for {
 		select {
@@ -20,7 +21,7 @@
 				d.scope.Counter("cancels_failed").Inc(1)
 				continue
 			}
-			d.each(func(r *running) {
+			d.each(func(r *activeCell) {
 				d.apply(r, cell.Cancelled{Endpoint: e.Endpoint, Attempt: e.Attempt, Known: known})
 			})
 		}
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -1,6 +1,6 @@
-// Package dispatcher runs the cells that this process dispatches: it feeds
-// messages, endpoints' reports and time into each cell's decisions and carries
-// out their effects.
+// Package dispatcher runs the cells that this process dispatches. It passes
+// messages from entries, reports of endpoints and timer ticks to each cell as
+// events and executes the effects that the cell returns.
 package dispatcher
 
 import (
@@ -23,7 +23,7 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// The topics between entries and dispatchers.
+// Topics of the messages between entries and dispatchers.
 const (
 	TopicAsk      = "cell.ask"
 	TopicProgress = "cell.progress"
@@ -35,24 +35,24 @@
 )
 
 const (
-	fastTick      = 10 * time.Millisecond  // while any request waits
-	slowTick      = 100 * time.Millisecond // otherwise
-	cancelWorkers = 16
-	cancelQueue   = 4096
+	fastTick          = 10 * time.Millisecond  // while any request is queued
+	slowTick          = 100 * time.Millisecond // otherwise
+	cancelWorkerCount = 16
+	cancelQueueSize   = 4096
 )
 
-// Options are the settings and seams of a dispatcher.
+// Options are the settings and dependencies of a dispatcher.
 type Options struct {
 	Cell    cell.Options
 	Listing time.Duration
 	Node    string
 	Zone    string
 	Now     func() clock.Millis
-	// Mine says whether this process is to dispatch a cell.
+	// Mine reports whether this process is the dispatcher of a cell.
 	Mine func(catalog.Cell) bool
 }
 
-// Dispatcher runs cells. Lock order: Dispatcher, then one cell.
+// Dispatcher runs cells. Lock order: first the Dispatcher, then a single cell.
 type Dispatcher struct {
 	options   Options
 	transport *peer.Transport
@@ -65,49 +65,49 @@
 	mu      sync.Mutex
 	catalog *catalog.Catalog
 	layout  map[catalog.Cell][]catalog.Member
-	cells   map[catalog.Cell]*running
+	cells   map[catalog.Cell]*activeCell
 }
 
-// running is one cell with its lock.
-type running struct {
-	mu      sync.Mutex
-	cell    *cell.Cell
-	reading map[string]bool         // endpoints whose report is being read
-	read    map[string]clock.Millis // when that was last begun
-	after   map[string]int64        // last cache event read
+// activeCell is a cell that this process dispatches, and the lock that guards it.
+type activeCell struct {
+	mu        sync.Mutex
+	cell      *cell.Cell
+	reading   map[string]bool         // endpoints with a report request in progress
+	lastRead  map[string]clock.Millis // when the last report request of each endpoint started
+	lastEvent map[string]int64        // sequence number of the last cache event read, by endpoint
 }
 
-// New returns a dispatcher without cells.
+// New returns a dispatcher without cells; Configure and Reconcile add them.
 func New(o Options, t *peer.Transport, c *endpoint.Client, scope tally.Scope, log zerolog.Logger) *Dispatcher {
 	return &Dispatcher{
 		options: o, transport: t, client: c, scope: scope, log: log,
-		cancels: make(chan cell.Cancel, cancelQueue), catalog: catalog.New(),
-		cells: map[catalog.Cell]*running{}, ticker: ticker.New(fastTick, slowTick),
+		cancels: make(chan cell.Cancel, cancelQueueSize), catalog: catalog.New(),
+		cells: map[catalog.Cell]*activeCell{}, ticker: ticker.New(fastTick, slowTick),
 	}
 }
 
-// Register adds the handlers of entries' messages.
+// Register adds the handlers for messages from entries.
 func (d *Dispatcher) Register(r *message.Router) {
 	peer.Handle(r, d.transport, TopicAsk, func(_ peer.Sender, a cell.Ask) {
-		if c := d.find(a.Cell); c != nil {
+		if c := d.findCell(a.Cell); c != nil {
 			d.apply(c, a)
 			return
 		}
 		d.send(a.Owner.Address, TopicRefusal, cell.Refusal{Attempt: a.Attempt, Reason: cell.ReasonMoved})
 	})
 	peer.Handle(r, d.transport, TopicProgress, func(_ peer.Sender, p cell.Progress) {
-		if c := d.find(p.Cell); c != nil {
+		if c := d.findCell(p.Cell); c != nil {
 			d.apply(c, p)
 		}
 	})
 	peer.Handle(r, d.transport, TopicAnnounce, func(_ peer.Sender, a cell.Announce) {
-		if c := d.find(a.Cell); c != nil {
+		if c := d.findCell(a.Cell); c != nil {
 			d.apply(c, a)
 		}
 	})
 }
 
-// Configure takes a newer catalog.
+// Configure replaces the catalog, unless the given one is older than the current one.
 func (d *Dispatcher) Configure(c *catalog.Catalog) {
 	layout := c.Layout(d.options.Zone)
 	d.mu.Lock()
@@ -117,15 +117,16 @@
 	}
 	d.catalog, d.layout = c, layout
 	d.mu.Unlock()
-	d.each(func(r *running) {
+	d.each(func(r *activeCell) {
 		d.apply(r, cell.Configured{Catalog: c, Members: layout[r.cell.Name]})
 	})
 }
 
-// Run lets time pass in all cells until ctx ends.
+// Run sends ticks to all cells, reads the reports of their endpoints and sends
+// cancel requests until ctx ends.
 func (d *Dispatcher) Run(ctx context.Context) {
 	var group sync.WaitGroup
-	for range cancelWorkers {
+	for range cancelWorkerCount {
 		group.Go(func() { d.cancelLoop(ctx) })
 	}
 	group.Go(func() { d.ticker.Run(ctx, d.tick) })
@@ -133,37 +134,39 @@
 	group.Wait()
 }
 
-// Reconcile takes up the cells that are this process's and drops the others.
-// Whoever waited in a dropped cell is sent on to its new dispatcher.
+// Reconcile starts the cells that this process is to dispatch and stops all
+// others. Requests queued in a stopped cell are refused with ReasonMoved, so that
+// their entries ask the new dispatcher.
 func (d *Dispatcher) Reconcile() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for name := range d.layout {
-		_, have := d.cells[name]
-		if mine := d.options.Mine(name); mine && !have {
-			d.take(name)
-		} else if !mine && have {
-			d.drop(name)
+		_, running := d.cells[name]
+		if local := d.options.Mine(name); local && !running {
+			d.startCell(name)
+		} else if !local && running {
+			d.stopCell(name)
 		}
 	}
 	for name := range d.cells {
 		if _, ok := d.layout[name]; !ok {
-			d.drop(name)
+			d.stopCell(name)
 		}
 	}
 }
 
-// take starts a cell; the caller holds the lock.
-func (d *Dispatcher) take(name catalog.Cell) {
+// startCell starts a cell. The caller holds d.mu.
+func (d *Dispatcher) startCell(name catalog.Cell) {
 	now := d.options.Now()
-	r := &running{cell: cell.New(name, now, d.options.Cell), reading: map[string]bool{}, read: map[string]clock.Millis{}, after: map[string]int64{}}
+	r := &activeCell{cell: cell.New(name, now, d.options.Cell), reading: map[string]bool{}, lastRead: map[string]clock.Millis{}, lastEvent: map[string]int64{}}
 	r.cell.Apply(now, cell.Configured{Catalog: d.catalog, Members: d.layout[name]})
 	d.cells[name] = r
 	d.log.Info().Stringer("cell", name).Msg("dispatching cell")
 }
 
-// drop ends a cell; the caller holds the lock.
-func (d *Dispatcher) drop(name catalog.Cell) {
+// stopCell stops a cell and refuses its queued requests with ReasonMoved. The
+// caller holds d.mu.
+func (d *Dispatcher) stopCell(name catalog.Cell) {
 	r := d.cells[name]
 	delete(d.cells, name)
 	d.log.Info().Stringer("cell", name).Msg("no longer dispatching cell")
@@ -175,7 +178,7 @@
 	}
 }
 
-// Statuses returns the headroom of the cells dispatched here.
+// Statuses returns the free capacity and queue of each cell dispatched here.
 func (d *Dispatcher) Statuses() []member.CellStatus {
 	now := d.options.Now()
 	var all []member.CellStatus
@@ -187,33 +190,33 @@
 	return all
 }
 
-// Each calls do with every cell under its lock.
-func (d *Dispatcher) Each(do func(catalog.Cell, *cell.Cell)) {
-	d.each(func(r *running) {
+// Each calls fn for every cell with the lock of that cell held.
+func (d *Dispatcher) Each(fn func(catalog.Cell, *cell.Cell)) {
+	d.each(func(r *activeCell) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		do(r.cell.Name, r.cell)
+		fn(r.cell.Name, r.cell)
 	})
 }
 
-// each calls do with every cell, without its lock.
-func (d *Dispatcher) each(do func(*running)) {
+// each calls fn for every cell without holding its lock.
+func (d *Dispatcher) each(fn func(*activeCell)) {
 	d.mu.Lock()
 	cells := maps.Clone(d.cells)
 	d.mu.Unlock()
 	for _, r := range cells {
-		do(r)
+		fn(r)
 	}
 }
 
-func (d *Dispatcher) find(name catalog.Cell) *running {
+func (d *Dispatcher) findCell(name catalog.Cell) *activeCell {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.cells[name]
 }
 
 func (d *Dispatcher) tick() (busy bool) {
-	d.each(func(r *running) {
+	d.each(func(r *activeCell) {
 		if d.apply(r, cell.Tick{}) > 0 {
 			busy = true
 		}
@@ -221,14 +224,15 @@
 	return busy
 }
 
-// apply feeds a cell one event and returns how many requests wait after it.
-func (d *Dispatcher) apply(r *running, e cell.Event) (waiting int) {
+// apply passes one event to a cell, executes the effects and returns how many
+// requests are queued in the cell afterwards.
+func (d *Dispatcher) apply(r *activeCell, e cell.Event) (waiting int) {
 	r.mu.Lock()
 	effects := r.cell.Apply(d.options.Now(), e)
 	waiting = r.cell.Queued()
 	r.mu.Unlock()
 	for _, effect := range effects {
-		d.carryOut(effect)
+		d.execute(effect)
 	}
 	if waiting > 0 {
 		d.ticker.Wake()
@@ -236,7 +240,7 @@
 	return waiting
 }
 
-func (d *Dispatcher) carryOut(e cell.Effect) {
+func (d *Dispatcher) execute(e cell.Effect) {
 	switch e := e.(type) {
 	case cell.SendGrant:
 		d.send(e.To.Address, TopicGrant, e.Grant)
@@ -249,7 +253,7 @@
 	case cell.Cancel:
 		select {
 		case d.cancels <- e:
-		default: // the next listing shows the attempt again
+		default: // the queue is full; the endpoint's next listing shows the attempt again
 			d.scope.Counter("cancel_queue_full").Inc(1)
 		}
 	}
--- a/internal/dispatcher/reports.go
+++ b/internal/dispatcher/reports.go
@@ -9,43 +9,44 @@
 )
 
 const (
-	// reportsPerSecond bounds the reports read of a cell's endpoints that have
-	// nothing to settle; reportPause is the least time between two of one.
-	reportsPerSecond = 20
-	reportPause      = time.Second
+	// maxReportsPerSecond bounds how many reports per second are read from all
+	// endpoints of a cell, and minReportInterval is the minimum time between two
+	// reports of one endpoint. Neither applies to endpoints marked urgent.
+	maxReportsPerSecond = 20
+	minReportInterval   = time.Second
 )
 
-// readReports starts reading the endpoints whose report is due and whose last
-// reading has come back.
+// readReports requests a report from each endpoint whose next one is due and
+// which has no report request in progress.
 func (d *Dispatcher) readReports(ctx context.Context) {
 	now := d.options.Now()
-	d.each(func(r *running) {
+	d.each(func(r *activeCell) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		endpoints := r.cell.Endpoints()
-		pause := max(reportPause, time.Duration(len(endpoints))*time.Second/reportsPerSecond)
-		for _, s := range endpoints {
-			due := s.Urgent || now.Sub(r.read[s.Name]) >= pause
-			if !due || r.reading[s.Name] {
+		interval := max(minReportInterval, time.Duration(len(endpoints))*time.Second/maxReportsPerSecond)
+		for _, status := range endpoints {
+			due := status.Urgent || now.Sub(r.lastRead[status.Name]) >= interval
+			if !due || r.reading[status.Name] {
 				continue
 			}
-			r.reading[s.Name], r.read[s.Name] = true, now
-			go d.readReport(ctx, r, s.Member)
+			r.reading[status.Name], r.lastRead[status.Name] = true, now
+			go d.readReport(ctx, r, status.Member)
 		}
 	})
 }
 
-func (d *Dispatcher) readReport(ctx context.Context, r *running, m catalog.Member) {
-	began := d.options.Now()
+func (d *Dispatcher) readReport(ctx context.Context, r *activeCell, m catalog.Member) {
+	startedAt := d.options.Now()
 	r.mu.Lock()
-	after := r.after[m.Name]
+	after := r.lastEvent[m.Name]
 	r.mu.Unlock()
 	report, err := d.client.Report(ctx, m.Address, after)
 	d.scope.Counter("reports").Inc(1)
 	r.mu.Lock()
 	r.reading[m.Name] = false
 	if n := len(report.Events); n > 0 {
-		r.after[m.Name] = report.Events[n-1].Sequence
+		r.lastEvent[m.Name] = report.Events[n-1].Sequence
 	}
 	r.mu.Unlock()
 	if err != nil {
@@ -53,5 +54,5 @@
 		d.apply(r, cell.Unreachable{Endpoint: m.Name})
 		return
 	}
-	d.apply(r, cell.Reported{Endpoint: m.Name, Report: report, Began: began})
+	d.apply(r, cell.Reported{Endpoint: m.Name, Report: report, Began: startedAt})
 }
