--- a/internal/entry/admit.go
+++ b/internal/entry/admit.go
@@ -13,57 +13,59 @@
 )
 
 const (
-	// answerSlack is how much longer than a request's budget its entry waits
-	// for the dispatcher's answer, which comes at the end of it at the latest.
-	answerSlack = 150 * time.Millisecond
-	movedPause  = 40 * time.Millisecond
+	// answerSlack is how much longer than the remaining budget of a request an
+	// entry waits for the dispatcher, which answers at the end of the budget at
+	// the latest.
+	answerSlack     = 150 * time.Millisecond
+	movedRetryDelay = 40 * time.Millisecond
 )
 
-// routes returns the cells that may serve a request: those of the own zone,
-// the one with more headroom of two taken at random first, then the best of
-// the other zones.
-func (e *Entry) routes(serves string) []route {
+// candidates returns the cells to ask for a request, in order. Cells of the own
+// zone come first, shuffled, and the first is the one with more free capacity of
+// two random ones. Then follow the two cells of other zones with the most free
+// capacity.
+func (e *Entry) candidates(serves string) []candidate {
 	status := map[catalog.Cell]member.CellStatus{}
-	var foreign []member.CellStatus
+	var otherZones []member.CellStatus
 	for _, s := range e.options.Cells() {
 		status[s.Cell] = s
 		if s.Cell.Serves == serves && s.Cell.Zone != e.options.Zone && s.Digest.Free > 0 {
-			foreign = append(foreign, s)
+			otherZones = append(otherZones, s)
 		}
 	}
-	own := slices.Clone(e.options.Catalog().CellsOf(e.options.Zone, serves))
-	rand.Shuffle(len(own), func(i, j int) { own[i], own[j] = own[j], own[i] })
-	if len(own) >= 2 && status[own[1]].Digest.Free > status[own[0]].Digest.Free {
-		own[0], own[1] = own[1], own[0]
+	ownZone := slices.Clone(e.options.Catalog().CellsOf(e.options.Zone, serves))
+	rand.Shuffle(len(ownZone), func(i, j int) { ownZone[i], ownZone[j] = ownZone[j], ownZone[i] })
+	if len(ownZone) >= 2 && status[ownZone[1]].Digest.Free > status[ownZone[0]].Digest.Free {
+		ownZone[0], ownZone[1] = ownZone[1], ownZone[0]
 	}
-	var all []route
-	for _, name := range own {
+	var list []candidate
+	for _, name := range ownZone {
 		if to, ok := e.options.Dispatcher(name); ok {
-			all = append(all, route{cell: name, address: to})
+			list = append(list, candidate{cell: name, address: to})
 		}
 	}
-	rand.Shuffle(len(foreign), func(i, j int) { foreign[i], foreign[j] = foreign[j], foreign[i] })
-	slices.SortStableFunc(foreign, func(a, b member.CellStatus) int { return b.Digest.Free - a.Digest.Free })
-	for _, s := range foreign[:min(len(foreign), 2)] {
-		all = append(all, route{cell: s.Cell, address: s.Address})
+	rand.Shuffle(len(otherZones), func(i, j int) { otherZones[i], otherZones[j] = otherZones[j], otherZones[i] })
+	slices.SortStableFunc(otherZones, func(a, b member.CellStatus) int { return b.Digest.Free - a.Digest.Free })
+	for _, s := range otherZones[:min(len(otherZones), 2)] {
+		list = append(list, candidate{cell: s.Cell, address: s.Address})
 	}
-	return all
+	return list
 }
 
-// admit asks the request's cells in turn until one grants. On refusal it
-// returns the attempt of the last cell, already over, with the outcome.
+// admit asks the candidate cells in turn until one grants the attempt. If none
+// does, it returns no attempt and the outcome of the last cell asked.
 func (e *Entry) admit(ctx context.Context, r *request, number int) (*attempt, Outcome) {
 	last := refused(reasonNoCell, defaultRetryAfter)
-	for i, to := range e.routes(r.kind.Serves) {
-		if i > 0 && r.left() <= 0 {
+	for i, to := range e.candidates(r.kind.Serves) {
+		if i > 0 && r.remaining() <= 0 {
 			break
 		}
 		a := e.newAttempt(ctx, r, to, cell.NewAttemptID(r.ID, number+i))
-		outcome := e.await(ctx, r, a, to)
+		outcome := e.requestGrant(ctx, r, a, to)
 		if outcome.Result == Answered {
 			return a, outcome
 		}
-		e.close(a)
+		e.endAttempt(a)
 		if outcome.Result == CallerGone || outcome.Reason == cell.ReasonRetryBudget {
 			return nil, outcome
 		}
@@ -72,24 +74,24 @@
 	return nil, last
 }
 
-func (e *Entry) newAttempt(ctx context.Context, r *request, to route, id cell.AttemptID) *attempt {
+func (e *Entry) newAttempt(ctx context.Context, r *request, to candidate, id cell.AttemptID) *attempt {
 	a := &attempt{tbt: r.class.TBT, answer: make(chan any, 4)}
 	a.ask = cell.Ask{
 		Cell: to.cell, Attempt: id, Request: r.ID, Owner: e.options.Owner, Workspace: r.Workspace,
 		Kind: r.Kind, Class: r.workspace.Class, Tokens: r.Tokens, Blocks: r.Blocks,
-		MaxTokens: r.MaxTokens, Budget: r.left(), Avoid: slices.Concat(r.avoid, e.closed()), Retry: r.tried > 0,
+		MaxTokens: r.MaxTokens, Budget: r.remaining(), Avoid: slices.Concat(r.avoid, e.unavailableEndpoints()), Retry: r.possibleRuns > 0,
 	}
 	a.ctx, a.cancel = context.WithCancelCause(ctx)
 	e.attempts.add(a, e.options.Now())
 	return a
 }
 
-// closed are the endpoints that want no requests from this process. Dispatchers on
-// others may not know.
-func (e *Entry) closed() []string {
+// unavailableEndpoints returns the names of the endpoints that accept no requests
+// from this process at present. Dispatchers on other instances may not know of them.
+func (e *Entry) unavailableEndpoints() []string {
 	list := e.options.Notices.All(e.options.Now())
 	if len(list) == 0 {
-		return nil // as nearly always
+		return nil // the common case
 	}
 	var names []string
 	for name, p := range e.options.Catalog().Endpoints {
@@ -100,16 +102,18 @@
 	return names
 }
 
-// close ends an attempt; whatever still comes for it is late.
-func (e *Entry) close(a *attempt) {
+// endAttempt removes an attempt and cancels its context. Messages that arrive for
+// it later are ignored.
+func (e *Entry) endAttempt(a *attempt) {
 	e.attempts.remove(a.ask.Attempt)
 	a.cancel(nil)
 }
 
-// await sends the ask and waits for its answer. Answered stands for granted.
-func (e *Entry) await(ctx context.Context, r *request, a *attempt, to route) Outcome {
+// requestGrant sends the ask to the dispatcher and waits for the answer. The result
+// Answered means that the attempt was granted.
+func (e *Entry) requestGrant(ctx context.Context, r *request, a *attempt, to candidate) Outcome {
 	e.send(to.address, dispatcher.TopicAsk, a.ask)
-	timer := time.NewTimer(max(r.left(), 0) + answerSlack)
+	timer := time.NewTimer(max(r.remaining(), 0) + answerSlack)
 	defer timer.Stop()
 	for {
 		select {
@@ -121,23 +125,25 @@
 				if answer.Reason != cell.ReasonMoved {
 					return refused(answer.Reason, answer.RetryAfter)
 				}
-				time.Sleep(movedPause)
-				e.askAgain(r, a, to)
+				time.Sleep(movedRetryDelay)
+				e.resendAsk(r, a, to)
 			case cell.Unknown:
-				e.askAgain(r, a, to)
+				e.resendAsk(r, a, to)
 			}
 		case <-ctx.Done():
-			e.tell(a, cell.Progress{Phase: cell.Withdrawn})
+			e.reportProgress(a, cell.Progress{Phase: cell.Withdrawn})
 			return Outcome{Result: CallerGone}
 		case <-timer.C:
-			e.tell(a, cell.Progress{Phase: cell.Withdrawn})
-			return refused(reasonNoAnswer, defaultRetryAfter)
+			e.reportProgress(a, cell.Progress{Phase: cell.Withdrawn})
+			return refused(reasonDispatcherSilent, defaultRetryAfter)
 		}
 	}
 }
 
-func (e *Entry) askAgain(r *request, a *attempt, to route) {
-	a.ask.Budget = r.left()
+// resendAsk sends the ask again, with the remaining budget, to the current
+// dispatcher of the cell.
+func (e *Entry) resendAsk(r *request, a *attempt, to candidate) {
+	a.ask.Budget = r.remaining()
 	if address, ok := e.address(to.cell); ok {
 		e.send(address, dispatcher.TopicAsk, a.ask)
 	}
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -11,14 +11,14 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// attempt is one try at a request, from the ask to its end.
+// attempt is one attempt at running a request, from the ask to its end.
 type attempt struct {
 	ask    cell.Ask
 	tbt    time.Duration
 	answer chan any // cell.Grant, cell.Refusal or cell.Unknown
 	ctx    context.Context
 	cancel context.CancelCauseFunc
-	ran    bool // an endpoint computed something of it
+	ran    bool // an endpoint has computed a part of it
 
 	mu      sync.Mutex
 	granted bool
@@ -26,6 +26,7 @@
 	phase   cell.Phase
 }
 
+// running returns what announcements say of the attempt and whether it was granted.
 func (a *attempt) running() (cell.Running, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -35,13 +36,13 @@
 	}, a.granted
 }
 
-func (a *attempt) reach(p cell.Phase) {
+func (a *attempt) setPhase(p cell.Phase) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.phase = p
 }
 
-// addressOf is where one of the attempt's endpoints is.
+// addressOf returns the address of the prefill or decode endpoint of the grant.
 func (a *attempt) addressOf(name string) netip.AddrPort {
 	if name == a.grant.Prefill {
 		return a.grant.PrefillAddr
@@ -49,22 +50,22 @@
 	return a.grant.DecodeAddr
 }
 
-// attempts is all attempts of this entry.
+// attempts holds all attempts of this entry that have not ended.
 type attempts struct {
-	mu   sync.Mutex
-	all  map[cell.AttemptID]*attempt
-	used map[catalog.Cell]clock.Millis // cells that were asked lately
+	mu       sync.Mutex
+	all      map[cell.AttemptID]*attempt
+	lastUsed map[catalog.Cell]clock.Millis // when each cell last had an attempt
 }
 
 func newAttempts() *attempts {
-	return &attempts{all: map[cell.AttemptID]*attempt{}, used: map[catalog.Cell]clock.Millis{}}
+	return &attempts{all: map[cell.AttemptID]*attempt{}, lastUsed: map[catalog.Cell]clock.Millis{}}
 }
 
 func (as *attempts) add(a *attempt, now clock.Millis) {
 	as.mu.Lock()
 	defer as.mu.Unlock()
 	as.all[a.ask.Attempt] = a
-	as.used[a.ask.Cell] = now
+	as.lastUsed[a.ask.Cell] = now
 }
 
 func (as *attempts) remove(id cell.AttemptID) {
@@ -85,45 +86,47 @@
 	return len(as.all)
 }
 
-// cellMemory is how long a cell hears announcements after its last attempt.
-const cellMemory = 5 * time.Second
+// cellIdleTimeout is how long announcements are sent to a cell after its last attempt.
+const cellIdleTimeout = 5 * time.Second
 
-// announcements returns one announcement for each cell used lately.
+// announcements returns one announcement for each cell that has attempts or had one
+// within cellIdleTimeout.
 func (as *attempts) announcements(now clock.Millis, owner cell.Owner) []cell.Announce {
 	as.mu.Lock()
 	defer as.mu.Unlock()
 	byCell := map[catalog.Cell]*cell.Announce{}
-	for name, used := range as.used {
-		if now.Sub(used) > cellMemory {
-			delete(as.used, name)
+	for name, used := range as.lastUsed {
+		if now.Sub(used) > cellIdleTimeout {
+			delete(as.lastUsed, name)
 			continue
 		}
 		byCell[name] = &cell.Announce{Cell: name, Owner: owner}
 	}
 	for _, a := range as.all {
-		as.used[a.ask.Cell] = now
-		an, ok := byCell[a.ask.Cell]
+		as.lastUsed[a.ask.Cell] = now
+		announcement, ok := byCell[a.ask.Cell]
 		if !ok {
-			an = &cell.Announce{Cell: a.ask.Cell, Owner: owner}
-			byCell[a.ask.Cell] = an
+			announcement = &cell.Announce{Cell: a.ask.Cell, Owner: owner}
+			byCell[a.ask.Cell] = announcement
 		}
 		run, granted := a.running()
 		switch {
 		case run.Phase.Over():
 		case granted:
-			an.Running = append(an.Running, run)
+			announcement.Running = append(announcement.Running, run)
 		default:
-			an.Waiting = append(an.Waiting, a.ask.Attempt)
+			announcement.Waiting = append(announcement.Waiting, a.ask.Attempt)
 		}
 	}
 	all := make([]cell.Announce, 0, len(byCell))
-	for _, an := range byCell {
-		all = append(all, *an)
+	for _, announcement := range byCell {
+		all = append(all, *announcement)
 	}
 	return all
 }
 
-// deliver hands a dispatcher's answer to the attempt that waits for it.
+// deliver passes a dispatcher's answer to the goroutine that waits for it. It returns
+// false if the buffer is full.
 func (a *attempt) deliver(answer any) bool {
 	select {
 	case a.answer <- answer:
@@ -133,8 +136,8 @@
 	}
 }
 
-// take accepts the first grant only.
-func (a *attempt) take(g cell.Grant) bool {
+// acceptGrant stores a grant and returns true. It rejects all but the first grant.
+func (a *attempt) acceptGrant(g cell.Grant) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.granted {
@@ -144,8 +147,8 @@
 	return true
 }
 
-// route is where a cell's dispatcher is reached.
-type route struct {
+// candidate is a cell that may serve a request, with the address of its dispatcher.
+type candidate struct {
 	cell    catalog.Cell
 	address netip.AddrPort
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,6 +1,7 @@
-// Package entry answers for the requests of the callers connected here: it
-// asks a cell's dispatcher, claims what may not be repeated, runs the attempt
-// on the granted endpoints and retries where the kind's rule allows.
+// Package entry runs the requests of the callers connected to this process. It
+// asks the dispatcher of a cell for a grant, claims the idempotency keys of requests
+// that may not be repeated, runs the attempt on the granted endpoints and retries if
+// the repeat rule of the request's kind allows it.
 package entry
 
 import (
@@ -28,10 +29,10 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// Error marks every error of this package.
+// Error is the class of all errors of this package.
 var Error = errs.Class("entry")
 
-// Options are the settings and seams of an entry.
+// Options are the settings and dependencies of an entry.
 type Options struct {
 	Owner       cell.Owner
 	Zone        string
@@ -40,56 +41,58 @@
 	HeldAnswers int
 	Now         func() clock.Millis
 	Catalog     func() *catalog.Catalog
-	// Dispatcher names the process that dispatches a cell of the own zone.
+	// Dispatcher returns the address of the process that dispatches a cell of the own zone.
 	Dispatcher func(catalog.Cell) (netip.AddrPort, bool)
-	// Cells lists the cells known with their headroom.
+	// Cells lists the known cells with their free capacity.
 	Cells func() []member.CellStatus
-	// Status finds one of them.
+	// Status returns the status of one known cell.
 	Status func(catalog.Cell) (member.CellStatus, bool)
-	// Claim and Abandon reach the claims of requests that may not be repeated.
+	// Claim and Abandon take and release the claims of requests that may not be repeated.
 	Claim   func(ctx context.Context, c claim.Claim, wait time.Duration) claim.Answer
 	Abandon func(c claim.Claim)
-	// Suspects remember which requests end endpoints.
+	// Suspects records which requests end the processes of endpoints that run them.
 	Suspects *suspects.Suspects
-	// Notices are the endpoints that want no requests from this process, as their
-	// answers told it.
+	// Notices holds the endpoints that accept no requests from this process at
+	// present, according to their answers.
 	Notices *notice.Table[netip.AddrPort]
-	// Limits keep this process to its part of what endpoints take from all.
+	// Limits keeps this process to its share of the request rates that endpoints
+	// accept from all instances together.
 	Limits *ownpart.Limiter
 }
 
-// Entry is the state of one process's own requests.
+// Entry runs the requests that callers send to this process.
 type Entry struct {
-	options   Options
-	transport *peer.Transport
-	client    *endpoint.Client
-	scope     tally.Scope
-	attempts  *attempts
-	held      *held
-	announced atomic.Int64 // clock.Millis of the last announcement
-	running   sync.Map     // workspace to *atomic.Int64
+	options       Options
+	transport     *peer.Transport
+	client        *endpoint.Client
+	scope         tally.Scope
+	attempts      *attempts
+	held          *answerStore
+	lastAnnounced atomic.Int64 // clock.Millis of the last announcement
+	running       sync.Map     // number of running requests by workspace, as *atomic.Int64
 }
 
-// New returns an entry without requests.
+// New returns an entry that has no requests yet.
 func New(o Options, t *peer.Transport, c *endpoint.Client, scope tally.Scope) *Entry {
 	e := &Entry{
 		options: o, transport: t, client: c, scope: scope,
-		attempts: newAttempts(), held: newHeld(o.HeldAnswers),
+		attempts: newAttempts(), held: newAnswerStore(o.HeldAnswers),
 	}
-	e.announced.Store(int64(o.Now()))
+	e.lastAnnounced.Store(int64(o.Now()))
 	return e
 }
 
-// Attempts returns how many attempts wait or run.
+// Attempts returns how many attempts are queued or running.
 func (e *Entry) Attempts() int { return e.attempts.count() }
 
-// Register adds the handlers of dispatchers' messages.
+// Register adds the handlers for messages from dispatchers and for requests of other
+// entries for held answers.
 func (e *Entry) Register(r *message.Router) {
 	peer.Handle(r, e.transport, dispatcher.TopicGrant, func(_ peer.Sender, g cell.Grant) {
 		a := e.attempts.find(g.Attempt)
-		if a == nil || !a.take(g) || !a.deliver(g) {
-			// The attempt is over. Its announcements no longer name it, so
-			// that the dispatcher frees its place.
+		if a == nil || !a.acceptGrant(g) || !a.deliver(g) {
+			// The attempt has ended. Later announcements leave it out, so
+			// the dispatcher frees its reservation.
 			e.scope.Counter("late_grants").Inc(1)
 		}
 	})
@@ -111,31 +114,33 @@
 			a.cancel(errFenced)
 		}
 	})
-	peer.Answer(r, e.transport, topicHeld, e.heldHere)
+	peer.Answer(r, e.transport, topicHeld, e.localHeldAnswer)
 }
 
-// Run announces the attempts until ctx ends.
+// Run announces the attempts to their dispatchers at an interval until ctx ends.
 func (e *Entry) Run(ctx context.Context) {
 	ticker.Every(ctx, e.options.Announce, e.announce)
 }
 
 func (e *Entry) announce() {
 	now := e.options.Now()
-	for _, an := range e.attempts.announcements(now, e.options.Owner) {
-		if to, ok := e.address(an.Cell); ok {
-			e.send(to, dispatcher.TopicAnnounce, an)
+	for _, announcement := range e.attempts.announcements(now, e.options.Owner) {
+		if to, ok := e.address(announcement.Cell); ok {
+			e.send(to, dispatcher.TopicAnnounce, announcement)
 		}
 	}
-	e.announced.Store(int64(now))
+	e.lastAnnounced.Store(int64(now))
 }
 
-// silent says whether this process has not announced for so long that its
-// attempts may have been given to others: it was paused, or overloaded.
-func (e *Entry) silent() bool {
-	last := clock.Millis(e.announced.Load())
+// announcementOverdue reports whether this process, because it was paused or
+// overloaded, has not announced its attempts for so long that dispatchers may have
+// ended them and given their places to others.
+func (e *Entry) announcementOverdue() bool {
+	last := clock.Millis(e.lastAnnounced.Load())
 	return e.options.Now().Sub(last) > e.options.OwnerExpiry/2
 }
 
+// address returns the address of the dispatcher of a cell.
 func (e *Entry) address(name catalog.Cell) (netip.AddrPort, bool) {
 	if name.Zone == e.options.Zone {
 		return e.options.Dispatcher(name)
@@ -150,21 +155,24 @@
 	}
 }
 
-func (e *Entry) tell(a *attempt, p cell.Progress) {
+// reportProgress sets the phase of an attempt and reports it to the dispatcher.
+func (e *Entry) reportProgress(a *attempt, p cell.Progress) {
 	p.Cell, p.Attempt = a.ask.Cell, a.ask.Attempt
-	a.reach(p.Phase)
+	a.setPhase(p.Phase)
 	if to, ok := e.address(a.ask.Cell); ok {
 		e.send(to, dispatcher.TopicProgress, p)
 	}
 }
 
-// enter counts a workspace's running requests against its limit.
-func (e *Entry) enter(workspace string, limit int) (leave func(), ok bool) {
-	v, _ := e.running.LoadOrStore(workspace, &atomic.Int64{})
-	n, _ := v.(*atomic.Int64)
-	if n.Add(1) > int64(limit) && limit > 0 {
-		n.Add(-1)
+// startRequest counts a request against the workspace's limit of running requests; 0
+// means no limit. If the limit is not exceeded, done must be called at the end of the
+// request.
+func (e *Entry) startRequest(workspace string, limit int) (done func(), ok bool) {
+	value, _ := e.running.LoadOrStore(workspace, &atomic.Int64{})
+	count, _ := value.(*atomic.Int64)
+	if count.Add(1) > int64(limit) && limit > 0 {
+		count.Add(-1)
 		return nil, false
 	}
-	return func() { n.Add(-1) }, true
+	return func() { count.Add(-1) }, true
 }
--- a/internal/entry/held.go
+++ b/internal/entry/held.go
@@ -12,48 +12,51 @@
 )
 
 const (
-	topicHeld = "entry.held"
-	heldWait  = 5 * time.Second // how long a repeated request joins a running one
+	topicHeld         = "entry.held"
+	heldAnswerTimeout = 5 * time.Second // how long a repeated request waits for a running one
 )
 
-// held keeps the answers of requests that may not be repeated, so that a caller
-// that asks again with its key gets the answer and not a second run.
-type held struct {
-	mu    sync.Mutex
-	limit int
-	all   map[string]*heldAnswer
-	order []string // oldest first
+// answerStore keeps the answers of requests that may not be repeated. A caller that
+// sends the same idempotency key again gets the stored answer instead of a second run.
+type answerStore struct {
+	mu         sync.Mutex
+	limit      int
+	all        map[string]*heldAnswer
+	requestIDs []string // keys of all, oldest first
 }
 
-// heldAnswer is one request's answer, running until done is closed.
+// heldAnswer is the answer of one request. It is complete once done is closed.
 type heldAnswer struct {
 	done   chan struct{}
 	answer endpoint.Answer
 	ok     bool
 }
 
-// heldQuestion asks the entry that ran a request for its answer.
-type heldQuestion struct {
+// heldRequest asks another entry for the answer of a request that it ran.
+type heldRequest struct {
 	Request string `cbor:"1,keyasint"`
 }
 
-// heldReply holds the answer when OK.
-type heldReply struct {
+// heldResponse contains the answer if OK is set.
+type heldResponse struct {
 	OK     bool            `cbor:"1,keyasint"`
 	Answer endpoint.Answer `cbor:"2,keyasint"`
 }
 
-func newHeld(limit int) *held { return &held{limit: limit, all: map[string]*heldAnswer{}} }
+func newAnswerStore(limit int) *answerStore {
+	return &answerStore{limit: limit, all: map[string]*heldAnswer{}}
+}
 
-func (h *held) begin(request string) *heldAnswer {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// begin adds an answer to be completed and evicts the oldest ones beyond the limit.
+func (s *answerStore) begin(request string) *heldAnswer {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	a := &heldAnswer{done: make(chan struct{})}
-	h.all[request] = a
-	h.order = append(h.order, request)
-	for len(h.order) > h.limit {
-		delete(h.all, h.order[0])
-		h.order = h.order[1:]
+	s.all[request] = a
+	s.requestIDs = append(s.requestIDs, request)
+	for len(s.requestIDs) > s.limit {
+		delete(s.all, s.requestIDs[0])
+		s.requestIDs = s.requestIDs[1:]
 	}
 	return a
 }
@@ -63,29 +66,31 @@
 	close(a.done)
 }
 
-func (h *held) find(request string) *heldAnswer {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.all[request]
+func (s *answerStore) find(request string) *heldAnswer {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.all[request]
 }
 
-func (e *Entry) heldHere(ctx context.Context, _ peer.Sender, q heldQuestion) heldReply {
-	a := e.held.find(q.Request)
+// localHeldAnswer returns the answer of a request that this entry ran. It waits for
+// up to heldAnswerTimeout while the request is running.
+func (e *Entry) localHeldAnswer(ctx context.Context, _ peer.Sender, req heldRequest) heldResponse {
+	a := e.held.find(req.Request)
 	if a == nil {
-		return heldReply{}
+		return heldResponse{}
 	}
-	ctx, cancel := context.WithTimeout(ctx, heldWait)
+	ctx, cancel := context.WithTimeout(ctx, heldAnswerTimeout)
 	defer cancel()
 	select {
 	case <-a.done:
-		return heldReply{OK: a.ok, Answer: a.answer}
+		return heldResponse{OK: a.ok, Answer: a.answer}
 	case <-ctx.Done():
-		return heldReply{}
+		return heldResponse{}
 	}
 }
 
-// Hold begins to keep the answer of a request whose kind may not be repeated;
-// end must be called once.
+// Hold prepares to keep the answer of a request if its kind may not be repeated. The
+// caller must call end once, with the answer and whether there is one.
 func (e *Entry) Hold(request, kind string) (end func(answer endpoint.Answer, ok bool)) {
 	if k, ok := e.options.Catalog().Kinds[kind]; !ok || k.Repeat == catalog.RepeatAllowed {
 		return func(endpoint.Answer, bool) {}
@@ -93,16 +98,16 @@
 	return e.held.begin(request).end
 }
 
-// Held fetches the answer of the request that has a key.
+// Held returns the answer of the request that owns a claim, from the entry that ran it.
 func (e *Entry) Held(ctx context.Context, c claim.Claim) (endpoint.Answer, bool) {
-	ctx, cancel := context.WithTimeout(ctx, heldWait)
+	ctx, cancel := context.WithTimeout(ctx, heldAnswerTimeout)
 	defer cancel()
-	q := heldQuestion{Request: c.Request}
+	req := heldRequest{Request: c.Request}
 	if c.Holder == e.options.Owner.Address {
-		r := e.heldHere(ctx, peer.Sender{}, q)
+		r := e.localHeldAnswer(ctx, peer.Sender{}, req)
 		return r.Answer, r.OK
 	}
-	r, err := peer.Ask[heldQuestion, heldReply](ctx, e.transport, c.Holder, topicHeld, q)
+	r, err := peer.Ask[heldRequest, heldResponse](ctx, e.transport, c.Holder, topicHeld, req)
 	if err != nil {
 		return endpoint.Answer{}, false
 	}
--- a/internal/entry/outcome.go
+++ b/internal/entry/outcome.go
@@ -6,10 +6,10 @@
 	"github.com/trailshed/trailshed/internal/claim"
 )
 
-// Result is how a request ended; these are all the ways there are.
+// Result is how a request ended, one of the constants below.
 type Result string
 
-// The results.
+// The possible results.
 const (
 	Answered         Result = "answered"
 	RefusedNotRun    Result = "refused_not_run"
@@ -18,26 +18,27 @@
 	CallerGone       Result = "caller_gone"
 )
 
-// Outcome is a result with its reason and, unless answered, when to come back.
+// Outcome is a result with its reason and, unless the request was answered, the delay
+// after which the caller may retry.
 type Outcome struct {
 	Result     Result
 	Reason     string
 	RetryAfter time.Duration
-	Taken      *claim.Claim // the claim of an earlier request with the same key
+	Taken      *claim.Claim // claim of an earlier request with the same key
 }
 
-// The reasons of outcomes that the entry itself decides.
+// Reasons of the outcomes that the entry decides itself; all others come from dispatchers.
 const (
-	reasonNoCell      = "no_cell"
-	reasonNoAnswer    = "dispatcher_silent"
-	reasonClaim       = "claim_unavailable"
-	reasonTaken       = "key_taken"
-	reasonBodyDiffers = "key_used_for_another_request"
-	reasonEndpoint    = "endpoint_failed"
-	reasonFenced      = "entry_was_silent"
-	reasonLeaving     = "leaving"
-	reasonLimit       = "workspace_limit"
-	reasonHeld        = "ends_endpoints"
+	reasonNoCell           = "no_cell"
+	reasonDispatcherSilent = "dispatcher_silent"
+	reasonClaimUnavailable = "claim_unavailable"
+	reasonKeyTaken         = "key_taken"
+	reasonBodyDiffers      = "key_used_for_another_request"
+	reasonEndpointFailed   = "endpoint_failed"
+	reasonFenced           = "entry_was_silent"
+	reasonLeaving          = "leaving"
+	reasonLimit            = "workspace_limit"
+	reasonQuarantined      = "ends_endpoints"
 )
 
 const defaultRetryAfter = time.Second
@@ -46,11 +47,11 @@
 	return Outcome{Result: RefusedNotRun, Reason: reason, RetryAfter: max(after, defaultRetryAfter/5)}
 }
 
-// taken is the outcome of a request whose key an earlier one has. This request
-// did not run; the earlier one may have.
-func taken(c claim.Claim, digest uint64) Outcome {
+// keyTaken returns the outcome of a request whose key is claimed by an earlier request.
+// This request did not run; the earlier one may have run.
+func keyTaken(c claim.Claim, digest uint64) Outcome {
 	if c.Body != digest {
 		return Outcome{Result: RefusedNotRun, Reason: reasonBodyDiffers}
 	}
-	return Outcome{Result: FailedMayHaveRun, Reason: reasonTaken, Taken: &c}
+	return Outcome{Result: FailedMayHaveRun, Reason: reasonKeyTaken, Taken: &c}
 }
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -8,7 +8,7 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// Request is what a caller wants, checked and measured.
+// Request is a caller's request after validation.
 type Request struct {
 	ID        string
 	Workspace string
@@ -17,36 +17,36 @@
 	Digest    uint64 // of the body
 	Arrived   clock.Millis
 
-	// For a model.
+	// Fields of requests to a model.
 	Prompt    string
 	Tokens    int
 	Blocks    []uint64
 	MaxTokens int
 
-	// For a plain service.
+	// Fields of requests to a plain service.
 	Method string
 	Path   string
 	Header http.Header
 	Body   []byte
 }
 
-// request is a Request under way.
+// request is a Request that is being run.
 type request struct {
 	Request
-	workspace *catalog.Workspace
-	class     *catalog.Class
-	kind      *catalog.Kind
-	now       func() clock.Millis
-	avoid     []string
-	tried     int  // attempts that reached an endpoint
-	claimed   bool // holds the claim of its key
-	sent      int  // tokens that went to the caller
+	workspace    *catalog.Workspace
+	class        *catalog.Class
+	kind         *catalog.Kind
+	now          func() clock.Millis
+	avoid        []string
+	possibleRuns int  // failed attempts that an endpoint may have run
+	claimed      bool // the claim of its key was granted
+	sentTokens   int  // tokens sent to the caller
 }
 
-// left returns what is left of the target for the first token. Once the answer
-// has begun, a retry gets the whole target again.
-func (r *request) left() time.Duration {
-	if r.sent > 0 {
+// remaining returns the time left until the deadline of the first token. Once tokens have
+// been sent, a retry has the full target time again.
+func (r *request) remaining() time.Duration {
+	if r.sentTokens > 0 {
 		return r.class.TTFT
 	}
 	return r.Arrived.Add(r.class.TTFT).Sub(r.now())
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -14,34 +14,35 @@
 
 const (
 	maxAttempts = 3
-	// attemptsPerAdmit spaces attempt numbers, as one admission may ask
-	// several cells.
+	// attemptsPerAdmit is the step between the first attempt numbers of
+	// successive admissions, each of which may ask several cells.
 	attemptsPerAdmit = 10
-	claimWait        = 800 * time.Millisecond
-	// stallLimit is how long a running stream may give no token.
-	stallLimit = 3 * time.Second
-	// firstTokenSlack is how much later than predicted a transfer and first
-	// step may be before they are cut off.
+	claimTimeout     = 800 * time.Millisecond
+	// stallTimeout is the maximum time between two tokens of a stream.
+	stallTimeout = 3 * time.Second
+	// An attempt is canceled if its first token takes longer than
+	// firstTokenFactor times the predicted times of KV transfer and first
+	// decode step, plus firstTokenSlack.
 	firstTokenSlack  = 700 * time.Millisecond
 	firstTokenFactor = 3
-	prefillLimit     = 20 * time.Second
+	prefillTimeout   = 20 * time.Second
 )
 
 var (
-	errFenced  = errors.New("attempt is no longer ours")
-	errStalled = errors.New("no token came in time")
+	errFenced  = errors.New("attempt is no longer owned by this entry")
+	errStalled = errors.New("timed out waiting for a token")
 )
 
-// Complete answers a model request, giving each token to emit in order.
-func (e *Entry) Complete(ctx context.Context, asked Request, emit func(endpoint.Token) error) Outcome {
-	return e.serve(ctx, asked, func(ctx context.Context, r *request, a *attempt) error {
+// Complete runs a model request and passes each token to emit, in order.
+func (e *Entry) Complete(ctx context.Context, req Request, emit func(endpoint.Token) error) Outcome {
+	return e.serve(ctx, req, func(ctx context.Context, r *request, a *attempt) error {
 		return e.runModel(ctx, r, a, emit)
 	})
 }
 
-// Call answers a plain service request.
-func (e *Entry) Call(ctx context.Context, asked Request) (answer endpoint.Answer, o Outcome) {
-	o = e.serve(ctx, asked, func(ctx context.Context, r *request, a *attempt) error {
+// Call runs a plain service request.
+func (e *Entry) Call(ctx context.Context, req Request) (answer endpoint.Answer, o Outcome) {
+	o = e.serve(ctx, req, func(ctx context.Context, r *request, a *attempt) error {
 		var err error
 		answer, err = e.runCall(ctx, r, a)
 		return err
@@ -49,81 +50,86 @@
 	return answer, o
 }
 
-// runner executes a granted attempt.
-type runner func(context.Context, *request, *attempt) error
+// attemptFunc executes a granted attempt.
+type attemptFunc func(context.Context, *request, *attempt) error
 
-func (e *Entry) serve(ctx context.Context, asked Request, run runner) Outcome {
+// serve checks the workspace's limit and the quarantine, runs the request and counts
+// its outcome.
+func (e *Entry) serve(ctx context.Context, req Request, run attemptFunc) Outcome {
 	now := e.options.Catalog()
-	r := &request{Request: asked, now: e.options.Now, kind: now.Kinds[asked.Kind], workspace: now.Workspaces[asked.Workspace]}
+	r := &request{Request: req, now: e.options.Now, kind: now.Kinds[req.Kind], workspace: now.Workspaces[req.Workspace]}
 	r.class = now.Classes[r.workspace.Class]
-	leave, ok := e.enter(r.Workspace, r.workspace.Running)
+	done, ok := e.startRequest(r.Workspace, r.workspace.Running)
 	if !ok {
-		return e.count(r, refused(reasonLimit, defaultRetryAfter))
+		return e.recordOutcome(r, refused(reasonLimit, defaultRetryAfter))
 	}
-	defer leave()
+	defer done()
 	if e.options.Suspects.Holds(r.work()) {
-		return e.count(r, refused(reasonHeld, heldRetryAfter))
+		return e.recordOutcome(r, refused(reasonQuarantined, quarantineRetryAfter))
 	}
-	o := e.tryAll(ctx, r, run)
+	o := e.runWithRetries(ctx, r, run)
 	e.abandonIfNotRun(r, o)
-	return e.count(r, o)
+	return e.recordOutcome(r, o)
 }
 
-func (e *Entry) count(r *request, o Outcome) Outcome {
+func (e *Entry) recordOutcome(r *request, o Outcome) Outcome {
 	tags := map[string]string{"result": string(o.Result), "reason": o.Reason, "class": r.workspace.Class}
 	e.scope.Tagged(tags).Counter("requests").Inc(1)
 	return o
 }
 
-func (e *Entry) tryAll(ctx context.Context, r *request, run runner) Outcome {
+// runWithRetries runs attempts until one succeeds, none is granted or no retry is
+// allowed.
+func (e *Entry) runWithRetries(ctx context.Context, r *request, run attemptFunc) Outcome {
 	var last Outcome
 	for n := range maxAttempts {
 		a, admitted := e.admit(ctx, r, n*attemptsPerAdmit+1)
 		if a == nil {
-			return r.truthful(admitted)
+			return r.adjustRefusal(admitted)
 		}
-		err := e.try(r, a, run)
+		err := e.runAttempt(r, a, run)
 		if err == nil {
 			e.options.Suspects.Completed(r.work())
 			return Outcome{Result: Answered}
 		}
-		var again bool
-		last, again = e.judge(ctx, r, a, err)
-		if !again || e.options.Suspects.Holds(r.work()) {
+		var retry bool
+		last, retry = e.evaluateFailure(ctx, r, a, err)
+		if !retry || e.options.Suspects.Holds(r.work()) {
 			return last
 		}
 	}
 	return last
 }
 
-// truthful lets a refusal say that nothing ran only if no attempt did.
-func (r *request) truthful(o Outcome) Outcome {
+// adjustRefusal replaces the result RefusedNotRun, which promises that the request did
+// not run, if an earlier attempt sent tokens or may have run.
+func (r *request) adjustRefusal(o Outcome) Outcome {
 	if o.Result != RefusedNotRun {
 		return o
 	}
-	if r.sent > 0 {
+	if r.sentTokens > 0 {
 		o.Result = FailedAfterStart
-	} else if r.tried > 0 {
+	} else if r.possibleRuns > 0 {
 		o.Result = FailedMayHaveRun
 	}
 	return o
 }
 
-// claimError carries the outcome of a claim that was not granted.
+// claimError is the error of a claim that was not granted, with the outcome for the caller.
 type claimError struct{ outcome Outcome }
 
 func (e claimError) Error() string { return e.outcome.Reason }
 
-// try runs one granted attempt and tells the dispatcher how it ended.
-func (e *Entry) try(r *request, a *attempt, run runner) error {
-	defer e.close(a)
+// runAttempt runs one granted attempt and reports to the dispatcher how it ended.
+func (e *Entry) runAttempt(r *request, a *attempt, run attemptFunc) error {
+	defer e.endAttempt(a)
 	ctx := a.ctx
-	if e.silent() {
-		e.tell(a, cell.Progress{Phase: cell.Withdrawn})
+	if e.announcementOverdue() {
+		e.reportProgress(a, cell.Progress{Phase: cell.Withdrawn})
 		return endpointError(endpoint.ErrNotRun, errFenced)
 	}
 	if err := e.claim(ctx, r); err != nil {
-		e.tell(a, cell.Progress{Phase: cell.Withdrawn})
+		e.reportProgress(a, cell.Progress{Phase: cell.Withdrawn})
 		return err
 	}
 	err := run(ctx, r, a)
@@ -132,195 +138,202 @@
 	}
 	at := a.grant.Decode
 	if cause := context.Cause(ctx); cause != nil {
-		e.tell(a, cell.Progress{Phase: cell.Withdrawn})
+		e.reportProgress(a, cell.Progress{Phase: cell.Withdrawn})
 		return endpointError(endpoint.ErrMayHaveRun, cause)
 	}
-	if errors.Is(err, errClosed) { // the endpoint did not fail; the next ask names it
-		e.tell(a, cell.Progress{Phase: cell.Withdrawn})
+	if errors.Is(err, errUnavailable) { // the endpoint did not fail; the next ask lists it in Avoid
+		e.reportProgress(a, cell.Progress{Phase: cell.Withdrawn})
 		return err
 	}
-	var failed *failure
+	var failed *attemptError
 	if errors.As(err, &failed) {
 		at = failed.at
-		e.runCut(ctx, r, failed, a.addressOf(at))
+		e.recordEndpointEnd(ctx, r, failed, a.addressOf(at))
 	}
 	r.avoid = append(r.avoid, at)
-	e.tell(a, cell.Progress{Phase: cell.Failed, At: at})
+	e.reportProgress(a, cell.Progress{Phase: cell.Failed, At: at})
 	return err
 }
 
-// failure says which endpoint an attempt failed at.
-type failure struct {
+// attemptError is the error of an attempt that failed at an endpoint.
+type attemptError struct {
 	at    string
 	cause error
 }
 
-func (f *failure) Error() string { return f.at + ": " + f.cause.Error() }
+func (f *attemptError) Error() string { return f.at + ": " + f.cause.Error() }
 
-func (f *failure) Unwrap() error { return f.cause }
+func (f *attemptError) Unwrap() error { return f.cause }
 
+// endpointError joins a cause with endpoint.ErrNotRun or endpoint.ErrMayHaveRun.
 func endpointError(kind, cause error) error { return Error.Wrap(errors.Join(kind, cause)) }
 
-// judge turns an attempt's error into an outcome and says whether another
-// attempt is allowed.
-func (e *Entry) judge(ctx context.Context, r *request, a *attempt, err error) (o Outcome, again bool) {
+// evaluateFailure returns the outcome for an attempt's error and whether another attempt
+// is allowed.
+func (e *Entry) evaluateFailure(ctx context.Context, r *request, a *attempt, err error) (o Outcome, retry bool) {
 	if ctx.Err() != nil {
 		return Outcome{Result: CallerGone}, false
 	}
-	var unclaimed claimError
-	if errors.As(err, &unclaimed) {
-		return r.truthful(unclaimed.outcome), false
+	var claimErr claimError
+	if errors.As(err, &claimErr) {
+		return r.adjustRefusal(claimErr.outcome), false
 	}
 	e.scope.Counter("attempts_failed").Inc(1)
 	notRun := errors.Is(err, endpoint.ErrNotRun) && !a.ran
 	if !notRun {
-		r.tried++
+		r.possibleRuns++
 	}
-	o = r.truthful(refused(reasonEndpoint, defaultRetryAfter))
+	o = r.adjustRefusal(refused(reasonEndpointFailed, defaultRetryAfter))
 	if errors.Is(err, errFenced) {
 		o.Reason = reasonFenced
 	}
-	again = r.repeatable() || o.Result == RefusedNotRun
-	return o, again && r.left() > 0
+	retry = r.repeatable() || o.Result == RefusedNotRun
+	return o, retry && r.remaining() > 0
 }
 
-// abandonIfNotRun frees the key of a request that certainly did not run.
+// abandonIfNotRun releases the claim of a request that certainly did not run.
 func (e *Entry) abandonIfNotRun(r *request, o Outcome) {
 	if r.claimed && o.Result == RefusedNotRun {
-		e.options.Abandon(r.claimOf(e))
+		e.options.Abandon(r.newClaim(e))
 	}
 }
 
-func (r *request) claimOf(e *Entry) claim.Claim {
+// newClaim returns the claim of the request's idempotency key.
+func (r *request) newClaim(e *Entry) claim.Claim {
 	return claim.Claim{
 		Key: claim.NewKey(r.Workspace, r.Key), Request: r.ID, Holder: e.options.Owner.Address,
 		Ends: e.options.Now().Add(r.kind.Window), Body: r.Digest,
 	}
 }
 
-// claim takes the key of a request that may not be repeated, once, before any
-// byte of it is sent.
+// claim claims the key of a request that may not be repeated. It does so once, before
+// any byte of the request is sent to an endpoint.
 func (e *Entry) claim(ctx context.Context, r *request) error {
 	if r.repeatable() || r.claimed || r.Key == "" {
 		return nil
 	}
-	c := r.claimOf(e)
-	answer := e.options.Claim(ctx, c, claimWait)
+	c := r.newClaim(e)
+	answer := e.options.Claim(ctx, c, claimTimeout)
 	switch answer.Verdict {
 	case claim.Granted:
-		if ctx.Err() != nil || e.silent() {
+		if ctx.Err() != nil || e.announcementOverdue() {
 			e.options.Abandon(c)
 			return claimError{refused(reasonFenced, defaultRetryAfter)}
 		}
 		r.claimed = true
 		return nil
 	case claim.Taken:
-		return claimError{taken(answer.Claim, r.Digest)}
+		return claimError{keyTaken(answer.Claim, r.Digest)}
 	default:
-		return claimError{refused(reasonClaim, defaultRetryAfter)}
+		return claimError{refused(reasonClaimUnavailable, defaultRetryAfter)}
 	}
 }
 
-// runCall sends a plain service's call.
+// runCall sends a request to the granted endpoint of a plain service.
 func (e *Entry) runCall(ctx context.Context, r *request, a *attempt) (endpoint.Answer, error) {
-	if err := e.admitAt(a.grant.DecodeAddr); err != nil {
+	if err := e.acquirePermit(a.grant.DecodeAddr); err != nil {
 		return endpoint.Answer{}, err
 	}
-	began := e.options.Now()
-	e.tell(a, cell.Progress{Phase: cell.Streaming})
+	startedAt := e.options.Now()
+	e.reportProgress(a, cell.Progress{Phase: cell.Streaming})
 	answer, err := e.client.Call(ctx, a.grant.DecodeAddr, endpoint.Call{
 		Attempt: string(a.ask.Attempt), Method: r.Method, Path: r.Path, Header: r.Header, Body: r.Body,
 		Once: !r.repeatable(),
 	})
 	if err != nil {
-		return answer, &failure{at: a.grant.Decode, cause: err}
+		return answer, &attemptError{at: a.grant.Decode, cause: err}
 	}
-	e.tell(a, cell.Progress{Phase: cell.Finished, Took: e.options.Now().Sub(began)})
+	e.reportProgress(a, cell.Progress{Phase: cell.Finished, Took: e.options.Now().Sub(startedAt)})
 	return answer, nil
 }
 
-// runModel computes the prompt, lets the decode endpoint fetch the KV cache and
-// passes its tokens on.
+// runModel computes the KV cache of the prompt at the prefill endpoint, has the decode
+// endpoint fetch it and passes the generated tokens to emit.
 func (e *Entry) runModel(ctx context.Context, r *request, a *attempt, emit func(endpoint.Token) error) error {
-	// Leave for both comes first: a prompt that is read and may not go on is read in vain.
+	// Get the permits for both endpoints first: a prefill is wasted if the decode
+	// endpoint then accepts no request.
 	for _, at := range []netip.AddrPort{a.grant.DecodeAddr, a.grant.PrefillAddr} {
-		if err := e.admitAt(at); err != nil {
+		if err := e.acquirePermit(at); err != nil {
 			return err
 		}
 	}
-	began := e.options.Now()
-	prefillCtx, cancel := context.WithTimeout(ctx, prefillLimit)
+	startedAt := e.options.Now()
+	prefillCtx, cancel := context.WithTimeout(ctx, prefillTimeout)
 	defer cancel()
 	result, err := e.client.Prefill(prefillCtx, a.grant.PrefillAddr, endpoint.PrefillRequest{
 		Attempt: string(a.ask.Attempt), Prompt: r.Prompt, Tokens: r.Tokens, Blocks: r.Blocks,
 	})
 	if err != nil {
-		return &failure{at: a.grant.Prefill, cause: err}
+		return &attemptError{at: a.grant.Prefill, cause: err}
 	}
 	a.ran = true
-	e.tell(a, cell.Progress{Phase: cell.Prefilled, Took: e.options.Now().Sub(began), Cached: result.CachedTokens})
-	if e.silent() {
+	e.reportProgress(a, cell.Progress{Phase: cell.Prefilled, Took: e.options.Now().Sub(startedAt), Cached: result.CachedTokens})
+	if e.announcementOverdue() {
 		return endpointError(endpoint.ErrMayHaveRun, errFenced)
 	}
-	if err := e.openAt(a.grant.DecodeAddr); err != nil {
+	if err := e.checkAvailable(a.grant.DecodeAddr); err != nil {
 		return err
 	}
 	return e.decode(ctx, r, a, emit)
 }
 
-// errClosed says that nothing was sent to an endpoint that wants no requests now.
-var errClosed = errors.New("endpoint wants no requests")
+// errUnavailable means that nothing was sent to an endpoint because it accepts no requests
+// at present.
+var errUnavailable = errors.New("endpoint accepts no requests at present")
 
-// admitAt gets leave to send to an endpoint. It returns an error if the endpoint has come
-// to want no requests since its place was asked for, or takes no more of them now: it
-// rests then for this process, so that the next ask names it.
-func (e *Entry) admitAt(at netip.AddrPort) error {
+// acquirePermit takes a permit to send a request to an endpoint. It returns an error if the
+// endpoint has stopped accepting requests since the ask, or if this process has used up
+// its share of the endpoint's rate limit. In the latter case this process backs off from
+// the endpoint, so that the next ask lists it in Avoid.
+func (e *Entry) acquirePermit(at netip.AddrPort) error {
 	now := e.options.Now()
 	if after := e.options.Limits.Take(now, at.String()); after > 0 {
 		e.options.Notices.Take(now, at, notice.Notice{Rest: after})
 	}
-	return e.openAt(at)
+	return e.checkAvailable(at)
 }
 
-// openAt returns an error if an endpoint has come to want no requests.
-func (e *Entry) openAt(at netip.AddrPort) error {
+// checkAvailable returns an error if an endpoint accepts no requests at present.
+func (e *Entry) checkAvailable(at netip.AddrPort) error {
 	if !e.options.Notices.Closed(e.options.Now(), at) {
 		return nil
 	}
-	return endpointError(endpoint.ErrNotRun, errClosed)
+	return endpointError(endpoint.ErrNotRun, errUnavailable)
 }
 
+// decode streams the tokens of the decode endpoint to emit and cancels the stream if
+// the next token takes too long.
 func (e *Entry) decode(ctx context.Context, r *request, a *attempt, emit func(endpoint.Token) error) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	patience := firstTokenFactor*(a.grant.Terms.Link+a.grant.Terms.Step) + firstTokenSlack
-	watchdog := time.AfterFunc(patience, func() { cancel(errStalled) })
+	firstTokenTimeout := firstTokenFactor*(a.grant.Terms.Link+a.grant.Terms.Step) + firstTokenSlack
+	watchdog := time.AfterFunc(firstTokenTimeout, func() { cancel(errStalled) })
 	defer watchdog.Stop()
-	began, from := e.options.Now(), r.sent
+	startedAt, offset := e.options.Now(), r.sentTokens
 	first := true
 	err := e.client.Decode(ctx, a.grant.DecodeAddr, endpoint.DecodeRequest{
-		Attempt: string(a.ask.Attempt), Source: a.grant.PrefillAddr, MaxTokens: r.MaxTokens, Offset: r.sent,
+		Attempt: string(a.ask.Attempt), Source: a.grant.PrefillAddr, MaxTokens: r.MaxTokens, Offset: r.sentTokens,
 	}, func(t endpoint.Token) error {
-		watchdog.Reset(stallLimit)
+		watchdog.Reset(stallTimeout)
 		if first {
-			e.tell(a, cell.Progress{Phase: cell.Streaming, Took: e.options.Now().Sub(began)})
-			began, first = e.options.Now(), false
+			e.reportProgress(a, cell.Progress{Phase: cell.Streaming, Took: e.options.Now().Sub(startedAt)})
+			startedAt, first = e.options.Now(), false
 		}
 		if err := emit(t); err != nil {
 			return err
 		}
 		if !t.Done {
-			r.sent++
+			r.sentTokens++
 		}
 		return nil
 	})
 	if err == nil {
-		e.tell(a, cell.Progress{Phase: cell.Finished, Took: e.options.Now().Sub(began), Tokens: r.sent - from})
+		e.reportProgress(a, cell.Progress{Phase: cell.Finished, Took: e.options.Now().Sub(startedAt), Tokens: r.sentTokens - offset})
 		return nil
 	}
 	at := a.grant.Decode
 	if errors.Is(context.Cause(ctx), errStalled) && first {
-		at = a.grant.Prefill // the transfer stalled: the link's source is at fault
+		at = a.grant.Prefill // no token at all: the KV transfer stalled, which is blamed on its source
 	}
-	return &failure{at: at, cause: err}
+	return &attemptError{at: at, cause: err}
 }
--- a/internal/entry/suspect.go
+++ b/internal/entry/suspect.go
@@ -12,15 +12,17 @@
 )
 
 const (
-	// heldRetryAfter is what the caller of a request is told that ends endpoints: it is
-	// not run before somebody has looked into it, which is longer than callers wait.
-	heldRetryAfter = time.Minute
-	// lifeSpan is the time within which two ends seen of one endpoint are the same one.
-	// Endpoints keep their names when they start anew, which takes them longer.
-	lifeSpan = 2 * time.Second
+	// quarantineRetryAfter is the retry delay sent to the caller of a request that is
+	// quarantined because it ends endpoints. Such a request is not run until an
+	// operator has looked into it, which takes longer than callers wait.
+	quarantineRetryAfter = time.Minute
+	// sameEndInterval is the time within which two observed ends of an endpoint count as
+	// one. An endpoint keeps its name when it restarts, but a restart takes longer.
+	sameEndInterval = 2 * time.Second
 )
 
-// work is what the request asks for, whichever try of it this is.
+// work returns the content of the request, which is the same for all attempts and for
+// repetitions by the caller.
 func (r *request) work() quarantine.Work {
 	w := quarantine.Work{Workspace: r.Workspace, Host: r.Kind, Method: r.Method, Target: r.Path, Body: r.Body}
 	if r.Prompt != "" {
@@ -29,14 +31,15 @@
 	return w
 }
 
-// runCut takes that an endpoint broke off a run. If its process has ended, the
-// request may be why: what ends whoever runs it must not go to three endpoints with
-// each try of its caller.
-func (e *Entry) runCut(ctx context.Context, r *request, f *failure, at netip.AddrPort) {
+// recordEndpointEnd checks, after an attempt failed at an endpoint, whether the process of
+// the endpoint has ended, and records that with the request, which may be the cause. A
+// request that ends every endpoint that runs it must not end three more, one for each
+// attempt, each time its caller sends it.
+func (e *Entry) recordEndpointEnd(ctx context.Context, r *request, f *attemptError, at netip.AddrPort) {
 	if errors.Is(f.cause, endpoint.ErrNotRun) || ctx.Err() != nil || !e.client.Ended(ctx, at) {
 		return
 	}
 	e.scope.Counter("endpoints_ended").Inc(1)
-	life := int64(e.options.Now()) / lifeSpan.Milliseconds()
-	e.options.Suspects.Ended(r.work(), f.at+"@"+strconv.FormatInt(life, 10))
+	interval := int64(e.options.Now()) / sameEndInterval.Milliseconds()
+	e.options.Suspects.Ended(r.work(), f.at+"@"+strconv.FormatInt(interval, 10))
 }
