--- a/internal/caller/completions.go
+++ b/internal/caller/completions.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	notReadyRetry   = time.Second
-	bytesPerToken   = 4 // estimate until the engines' tokenizer is at hand
-	blockBytes      = 64 * bytesPerToken
-	defaultMaxToken = 256
+	notReadyRetry    = time.Second
+	bytesPerToken    = 4 // estimate, since the tokenizer of the engines is not available here
+	blockBytes       = 64 * bytesPerToken
+	defaultMaxTokens = 256
 )
 
-// completionRequest is the part of OpenAI's format that is understood.
+// completionRequest is the supported subset of OpenAI's request format.
 type completionRequest struct {
 	Model     string    `json:"model"`
 	Prompt    string    `json:"prompt"`
@@ -35,75 +35,76 @@
 	Content string `json:"content"`
 }
 
-// shape writes the answer as one of OpenAI's two objects.
-type shape struct {
-	whole string
-	chunk string
-	chat  bool
+// objectFormat selects between the text completion and chat completion objects of
+// OpenAI's API.
+type objectFormat struct {
+	object string
+	chunk  string
+	chat   bool
 }
 
 var (
-	textShape = shape{whole: "text_completion", chunk: "text_completion"}
-	chatShape = shape{whole: "chat.completion", chunk: "chat.completion.chunk", chat: true}
+	textFormat = objectFormat{object: "text_completion", chunk: "text_completion"}
+	chatFormat = objectFormat{object: "chat.completion", chunk: "chat.completion.chunk", chat: true}
 )
 
-func (f *Front) completions(w http.ResponseWriter, r *http.Request) { f.complete(w, r, textShape) }
+func (f *Front) completions(w http.ResponseWriter, r *http.Request) { f.complete(w, r, textFormat) }
 
-func (f *Front) chat(w http.ResponseWriter, r *http.Request) { f.complete(w, r, chatShape) }
+func (f *Front) chat(w http.ResponseWriter, r *http.Request) { f.complete(w, r, chatFormat) }
 
-func (f *Front) complete(w http.ResponseWriter, r *http.Request, s shape) {
-	asked, body, p := f.begin(w, r)
+func (f *Front) complete(w http.ResponseWriter, r *http.Request, format objectFormat) {
+	req, body, p := f.readRequest(w, r)
 	if p != nil {
 		p.write(w)
 		return
 	}
 	var c completionRequest
 	if err := json.Unmarshal(body, &c); err != nil {
-		bad(http.StatusBadRequest, "malformed_json", "body", err.Error()).write(w)
+		newProblem(http.StatusBadRequest, "malformed_json", "body", err.Error()).write(w)
 		return
 	}
-	if p := f.check(&asked, &c, r.Header.Get(headerKind), s); p != nil {
+	if p := f.parseCompletion(&req, &c, r.Header.Get(headerKind), format); p != nil {
 		p.write(w)
 		return
 	}
-	out := &writer{front: f, w: w, shape: s, id: asked.ID, model: c.Model, stream: c.Stream}
-	f.answer(r.Context(), asked, out)
+	out := &completionWriter{front: f, w: w, format: format, id: req.ID, model: c.Model, stream: c.Stream}
+	f.respond(r.Context(), req, out)
 }
 
-// check fills in what the request asks of a model.
-func (f *Front) check(asked *entry.Request, c *completionRequest, kind string, s shape) *problem {
+// parseCompletion validates a completion request and fills in the model fields of req.
+func (f *Front) parseCompletion(req *entry.Request, c *completionRequest, kind string, format objectFormat) *problem {
 	if kind == "" {
 		kind = c.Kind
 	}
-	if !f.serves(c.Model) {
-		return bad(http.StatusNotFound, "unknown_model", "model", "The model "+quote(c.Model)+" does not exist.")
+	if !f.isServed(c.Model) {
+		return newProblem(http.StatusNotFound, "unknown_model", "model", "The model "+quoted(c.Model)+" does not exist.")
 	}
-	if p := f.checkKind(asked, kind, c.Model, "model"); p != nil {
+	if p := f.checkKind(req, kind, c.Model, "model"); p != nil {
 		return p
 	}
-	asked.Prompt = c.Prompt
-	if s.chat {
-		asked.Prompt = joinMessages(c.Messages)
+	req.Prompt = c.Prompt
+	if format.chat {
+		req.Prompt = joinMessages(c.Messages)
 	}
-	if asked.Prompt == "" {
+	if req.Prompt == "" {
 		field := "prompt"
-		if s.chat {
+		if format.chat {
 			field = "messages"
 		}
-		return bad(http.StatusBadRequest, "empty_prompt", field, "The prompt must not be empty.")
+		return newProblem(http.StatusBadRequest, "empty_prompt", field, "The prompt must not be empty.")
 	}
-	asked.Tokens = (len(asked.Prompt) + bytesPerToken - 1) / bytesPerToken
-	if asked.Tokens > f.settings.PromptLimit {
-		return bad(http.StatusBadRequest, "prompt_too_long", "prompt", "The prompt is over the limit.")
+	req.Tokens = (len(req.Prompt) + bytesPerToken - 1) / bytesPerToken
+	if req.Tokens > f.settings.PromptLimit {
+		return newProblem(http.StatusBadRequest, "prompt_too_long", "prompt", "The prompt exceeds the length limit.")
 	}
-	asked.MaxTokens = min(defaultMaxToken, f.settings.AnswerLimit)
+	req.MaxTokens = min(defaultMaxTokens, f.settings.AnswerLimit)
 	if c.MaxTokens != nil {
-		asked.MaxTokens = *c.MaxTokens
+		req.MaxTokens = *c.MaxTokens
 	}
-	if asked.MaxTokens < 1 || asked.MaxTokens > f.settings.AnswerLimit {
-		return bad(http.StatusBadRequest, "max_tokens_out_of_range", "max_tokens", "The answer's length must be positive and within the limit.")
+	if req.MaxTokens < 1 || req.MaxTokens > f.settings.AnswerLimit {
+		return newProblem(http.StatusBadRequest, "max_tokens_out_of_range", "max_tokens", "The maximum answer length must be positive and within the limit.")
 	}
-	asked.Blocks = prefixBlocks(asked.Workspace, asked.Prompt)
+	req.Blocks = prefixBlocks(req.Workspace, req.Prompt)
 	return nil
 }
 
@@ -115,18 +116,19 @@
 	return b.String()
 }
 
-func (f *Front) serves(model string) bool {
+// isServed reports whether any kind is served by the model or plain service of a name.
+func (f *Front) isServed(name string) bool {
 	for _, k := range f.catalog().Kinds {
-		if k.Serves == model {
+		if k.Serves == name {
 			return true
 		}
 	}
 	return false
 }
 
-// prefixBlocks hashes each block of a prompt with all before it. The workspace
-// is hashed first, so that workspaces share no cached prefix and learn nothing
-// of each other's prompts by timing.
+// prefixBlocks returns a hash for each full block of a prompt, which covers the block
+// and all text before it. The workspace is hashed first, so that workspaces share no
+// cached prefix and cannot infer each other's prompts from timing.
 func prefixBlocks(workspace, prompt string) []uint64 {
 	h := xxhash.New()
 	_, _ = h.WriteString(workspace + "\x00")
@@ -139,24 +141,24 @@
 	return blocks
 }
 
-// answer runs the request. The answer of one that may not be repeated is kept
-// for callers that ask again.
-func (f *Front) answer(ctx context.Context, asked entry.Request, out *writer) {
-	end := f.entry.Hold(asked.ID, asked.Kind)
+// respond runs the request and writes the answer. The answer of a request that may not
+// be repeated is kept for callers that send the same key again.
+func (f *Front) respond(ctx context.Context, req entry.Request, out *completionWriter) {
+	end := f.entry.Hold(req.ID, req.Kind)
 	var text strings.Builder
-	o := f.entry.Complete(ctx, asked, func(t endpoint.Token) error {
+	o := f.entry.Complete(ctx, req, func(t endpoint.Token) error {
 		if t.Done {
 			return nil
 		}
 		text.WriteString(t.Text)
-		return out.token(t.Text)
+		return out.writeToken(t.Text)
 	})
 	end(endpoint.Answer{Status: http.StatusOK, Body: []byte(text.String())}, o.Result == entry.Answered)
 	if o.Taken != nil {
-		if again, ok := f.entry.Held(ctx, *o.Taken); ok {
-			_ = out.token(string(again.Body))
+		if kept, ok := f.entry.Held(ctx, *o.Taken); ok {
+			_ = out.writeToken(string(kept.Body))
 			o = entry.Outcome{Result: entry.Answered}
 		}
 	}
-	out.end(o)
+	out.finish(o)
 }
--- a/internal/caller/front.go
+++ b/internal/caller/front.go
@@ -1,5 +1,5 @@
-// Package caller is the HTTP surface for callers: OpenAI-compatible completions,
-// whole or as server-sent events, and plain services passed through.
+// Package caller implements the HTTP API for callers: OpenAI-compatible completions,
+// as one response or as server-sent events, and requests to plain services.
 package caller
 
 import (
@@ -21,16 +21,16 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// The headers of our own.
+// Names of request and response headers.
 const (
 	headerKind    = "Trailshed-Kind"
 	headerRequest = "Trailshed-Request"
 	headerKey     = "Idempotency-Key"
-	// headerNotReady marks answers of a process without configuration.
+	// headerNotReady marks responses of a process that has no configuration yet.
 	headerNotReady = "Trailshed-Not-Ready"
 )
 
-// Front is the HTTP surface.
+// Front is the HTTP API for callers.
 type Front struct {
 	settings settings.Callers
 	entry    *entry.Entry
@@ -40,7 +40,7 @@
 	scope    tally.Scope
 }
 
-// New returns the surface; ready says whether this process may serve.
+// New returns the API; ready reports whether this process may serve requests.
 func New(
 	s settings.Callers, e *entry.Entry, c func() *catalog.Catalog,
 	now func() clock.Millis, ready func() bool, scope tally.Scope,
@@ -48,7 +48,7 @@
 	return &Front{settings: s, entry: e, catalog: c, now: now, ready: ready, scope: scope}
 }
 
-// Handler returns the routes.
+// Handler returns the handler of all routes.
 func (f *Front) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Post("/v1/completions", f.completions)
@@ -56,56 +56,57 @@
 	r.HandleFunc("/v1/services/{name}/*", f.service)
 	r.HandleFunc("/v1/services/{name}", f.service)
 	r.NotFound(func(w http.ResponseWriter, r *http.Request) {
-		bad(http.StatusNotFound, "not_found", "path", "There is nothing at "+r.URL.Path+".").write(w)
+		newProblem(http.StatusNotFound, "not_found", "path", "There is no resource at "+r.URL.Path+".").write(w)
 	})
 	r.MethodNotAllowed(func(w http.ResponseWriter, r *http.Request) {
-		bad(http.StatusMethodNotAllowed, "method_not_allowed", "method", "This path takes no "+r.Method+".").write(w)
+		newProblem(http.StatusMethodNotAllowed, "method_not_allowed", "method", "The method "+r.Method+" is not allowed on this path.").write(w)
 	})
 	return r
 }
 
-// begin authenticates a caller and reads the body.
-func (f *Front) begin(w http.ResponseWriter, r *http.Request) (entry.Request, []byte, *problem) {
-	asked := entry.Request{ID: uuid.NewString(), Arrived: f.now(), Key: r.Header.Get(headerKey)}
-	w.Header().Set(headerRequest, asked.ID)
+// readRequest authenticates the caller and reads the body.
+func (f *Front) readRequest(w http.ResponseWriter, r *http.Request) (entry.Request, []byte, *problem) {
+	req := entry.Request{ID: uuid.NewString(), Arrived: f.now(), Key: r.Header.Get(headerKey)}
+	w.Header().Set(headerRequest, req.ID)
 	if !f.ready() {
-		p := bad(http.StatusServiceUnavailable, "not_ready", "", "This process has no configuration yet.")
+		p := newProblem(http.StatusServiceUnavailable, "not_ready", "", "This process has no configuration yet.")
 		p.RetryAfter = notReadyRetry.Milliseconds()
 		w.Header().Set(headerNotReady, "1")
-		return asked, nil, p
+		return req, nil, p
 	}
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	sum := sha256.Sum256([]byte(key))
-	asked.Workspace, _ = f.catalog().WorkspaceOf(hex.EncodeToString(sum[:]))
-	if !ok || asked.Workspace == "" {
-		return asked, nil, bad(http.StatusUnauthorized, "unknown_key", "Authorization", "A known bearer key must be given.")
+	req.Workspace, _ = f.catalog().WorkspaceOf(hex.EncodeToString(sum[:]))
+	if !ok || req.Workspace == "" {
+		return req, nil, newProblem(http.StatusUnauthorized, "unknown_key", "Authorization", "The request must have a valid bearer key.")
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(f.settings.BodyLimit)))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return asked, nil, bad(http.StatusRequestEntityTooLarge, "body_too_large", "body", "The body is over the limit.")
+		return req, nil, newProblem(http.StatusRequestEntityTooLarge, "body_too_large", "body", "The body exceeds the size limit.")
 	}
 	if err != nil {
-		return asked, nil, bad(http.StatusBadRequest, "body_unreadable", "body", "The body did not arrive whole.")
+		return req, nil, newProblem(http.StatusBadRequest, "body_unreadable", "body", "The body could not be read completely.")
 	}
-	asked.Digest = xxhash.Sum64(body)
-	return asked, body, nil
+	req.Digest = xxhash.Sum64(body)
+	return req, body, nil
 }
 
-// checkKind looks up the kind and what its repeat rule asks for.
-func (f *Front) checkKind(asked *entry.Request, name, serves, field string) *problem {
+// checkKind checks that the kind exists, that the model or service serves it and that
+// the idempotency key is present if the kind requires one.
+func (f *Front) checkKind(req *entry.Request, name, serves, field string) *problem {
 	kind, ok := f.catalog().Kinds[name]
 	if !ok {
-		return bad(http.StatusBadRequest, "unknown_kind", headerKind, "The kind "+quote(name)+" does not exist.")
+		return newProblem(http.StatusBadRequest, "unknown_kind", headerKind, "The kind "+quoted(name)+" does not exist.")
 	}
 	if kind.Serves != serves {
-		return bad(http.StatusBadRequest, "kind_mismatch", field, "The kind "+quote(name)+" is not served by "+quote(serves)+".")
+		return newProblem(http.StatusBadRequest, "kind_mismatch", field, "The kind "+quoted(name)+" is not served by "+quoted(serves)+".")
 	}
-	if kind.Repeat == catalog.RepeatNever && kind.KeyRequired && asked.Key == "" {
-		return bad(http.StatusBadRequest, "key_required", headerKey, "This kind may not be repeated and needs an idempotency key.")
+	if kind.Repeat == catalog.RepeatNever && kind.KeyRequired && req.Key == "" {
+		return newProblem(http.StatusBadRequest, "key_required", headerKey, "Requests of this kind may not be repeated and require an idempotency key.")
 	}
-	asked.Kind = name
+	req.Kind = name
 	return nil
 }
 
-func quote(s string) string { return "\"" + s + "\"" }
+func quoted(s string) string { return "\"" + s + "\"" }
--- a/internal/caller/problem.go
+++ b/internal/caller/problem.go
@@ -10,7 +10,7 @@
 	"github.com/trailshed/trailshed/internal/entry"
 )
 
-// problem is the body of every answer that is not what the caller asked for.
+// problem is the body of every error response.
 type problem struct {
 	Type       string `json:"type"`
 	Outcome    string `json:"outcome"` // one of entry's results
@@ -20,12 +20,12 @@
 	status     int
 }
 
-// bad is a request that was wrong and never queued.
-func bad(status int, kind, field, message string) *problem {
+// newProblem returns the problem of a request that was rejected before it was queued.
+func newProblem(status int, kind, field, message string) *problem {
 	return &problem{Type: kind, Outcome: string(entry.RefusedNotRun), Message: message, Field: field, status: status}
 }
 
-var statuses = map[entry.Result]int{
+var statusCodes = map[entry.Result]int{
 	entry.RefusedNotRun:    http.StatusServiceUnavailable,
 	entry.FailedMayHaveRun: http.StatusBadGateway,
 	entry.FailedAfterStart: http.StatusBadGateway,
@@ -34,18 +34,19 @@
 var messages = map[entry.Result]string{
 	entry.RefusedNotRun:    "The request was not run.",
 	entry.FailedMayHaveRun: "The request failed; it may have run.",
-	entry.FailedAfterStart: "The answer broke off; it is not whole.",
+	entry.FailedAfterStart: "The answer was interrupted and is incomplete.",
 }
 
-func problemOf(o entry.Outcome) *problem {
+// outcomeProblem returns the problem of a request that was not answered.
+func outcomeProblem(o entry.Outcome) *problem {
 	p := &problem{
 		Type: o.Reason, Outcome: string(o.Result), Message: messages[o.Result],
-		RetryAfter: o.RetryAfter.Milliseconds(), status: statuses[o.Result],
+		RetryAfter: o.RetryAfter.Milliseconds(), status: statusCodes[o.Result],
 	}
 	switch {
 	case o.Taken != nil:
 		p.status = http.StatusConflict
-		p.Message = "An earlier request with this key may have run; its answer is not held any more."
+		p.Message = "An earlier request with this key may have run; its answer is no longer available."
 	case o.Result == entry.RefusedNotRun && o.RetryAfter == 0:
 		p.status = http.StatusUnprocessableEntity
 	}
--- a/internal/caller/service.go
+++ b/internal/caller/service.go
@@ -9,39 +9,40 @@
 	"github.com/trailshed/trailshed/internal/entry"
 )
 
-// hopHeaders concern one connection or ourselves and are not passed on.
+// hopHeaders are headers that apply to a single connection or only to this API. They
+// are not forwarded.
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Authorization", "Content-Length",
 }
 
-// service passes a request to a plain service and its answer back.
+// service forwards a request to a plain service and writes its answer.
 func (f *Front) service(w http.ResponseWriter, r *http.Request) {
-	asked, body, p := f.begin(w, r)
+	req, body, p := f.readRequest(w, r)
 	if p != nil {
 		p.write(w)
 		return
 	}
 	name := chi.URLParam(r, "name")
-	if !f.serves(name) {
-		bad(http.StatusNotFound, "unknown_service", "path", "The service "+quote(name)+" does not exist.").write(w)
+	if !f.isServed(name) {
+		newProblem(http.StatusNotFound, "unknown_service", "path", "The service "+quoted(name)+" does not exist.").write(w)
 		return
 	}
-	if p := f.checkKind(&asked, r.Header.Get(headerKind), name, "path"); p != nil {
+	if p := f.checkKind(&req, r.Header.Get(headerKind), name, "path"); p != nil {
 		p.write(w)
 		return
 	}
-	asked.Method, asked.Body, asked.Header = r.Method, body, passedOn(r.Header)
-	asked.Path = chi.URLParam(r, "*")
+	req.Method, req.Body, req.Header = r.Method, body, endToEndHeaders(r.Header)
+	req.Path = chi.URLParam(r, "*")
 	if r.URL.RawQuery != "" {
-		asked.Path += "?" + r.URL.RawQuery
+		req.Path += "?" + r.URL.RawQuery
 	}
-	end := f.entry.Hold(asked.ID, asked.Kind)
-	answer, o := f.entry.Call(r.Context(), asked)
+	end := f.entry.Hold(req.ID, req.Kind)
+	answer, o := f.entry.Call(r.Context(), req)
 	end(answer, o.Result == entry.Answered)
 	if o.Taken != nil {
-		if again, ok := f.entry.Held(r.Context(), *o.Taken); ok {
-			answer, o = again, entry.Outcome{Result: entry.Answered}
+		if kept, ok := f.entry.Held(r.Context(), *o.Taken); ok {
+			answer, o = kept, entry.Outcome{Result: entry.Answered}
 		}
 	}
 	switch o.Result {
@@ -49,11 +50,12 @@
 	case entry.Answered:
 		writeAnswer(w, answer)
 	default:
-		problemOf(o).write(w)
+		outcomeProblem(o).write(w)
 	}
 }
 
-func passedOn(h http.Header) http.Header {
+// endToEndHeaders returns the headers without hopHeaders.
+func endToEndHeaders(h http.Header) http.Header {
 	h = h.Clone()
 	for _, name := range hopHeaders {
 		h.Del(name)
@@ -62,7 +64,7 @@
 }
 
 func writeAnswer(w http.ResponseWriter, a endpoint.Answer) {
-	for name, values := range passedOn(a.Header) {
+	for name, values := range endToEndHeaders(a.Header) {
 		w.Header()[name] = values
 	}
 	w.WriteHeader(a.Status)
--- a/internal/caller/writer.go
+++ b/internal/caller/writer.go
@@ -8,13 +8,13 @@
 	"github.com/trailshed/trailshed/internal/entry"
 )
 
-// writer gives a model's answer to one caller, whole or as server-sent events.
-// Nothing is written before the first token, so that a failure before it still
-// gets its own status.
-type writer struct {
+// completionWriter writes a model's answer to one caller, as one response or as
+// server-sent events. It writes nothing before the first token, so that an earlier
+// failure can still set the status code.
+type completionWriter struct {
 	front   *Front
 	w       http.ResponseWriter
-	shape   shape
+	format  objectFormat
 	id      string
 	model   string
 	stream  bool
@@ -23,7 +23,7 @@
 	tokens  int
 }
 
-// completion is OpenAI's answer object, whole or a chunk of it.
+// completion is OpenAI's completion object or chunk.
 type completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -45,65 +45,65 @@
 	CompletionTokens int `json:"completion_tokens"`
 }
 
-func (o *writer) token(text string) error {
-	o.tokens++
-	if !o.stream {
-		o.text.WriteString(text)
+func (cw *completionWriter) writeToken(text string) error {
+	cw.tokens++
+	if !cw.stream {
+		cw.text.WriteString(text)
 		return nil
 	}
-	if !o.started {
-		o.started = true
-		o.w.Header().Set("Content-Type", "text/event-stream")
-		o.w.Header().Set("Cache-Control", "no-store")
+	if !cw.started {
+		cw.started = true
+		cw.w.Header().Set("Content-Type", "text/event-stream")
+		cw.w.Header().Set("Cache-Control", "no-store")
 	}
-	return o.event(o.completion(o.shape.chunk, text, nil))
+	return cw.writeEvent(cw.newCompletion(cw.format.chunk, text, nil))
 }
 
-func (o *writer) completion(object, text string, finish *string) completion {
+func (cw *completionWriter) newCompletion(object, text string, finish *string) completion {
 	c := choice{FinishReason: finish}
 	switch {
-	case o.shape.chat && o.stream:
+	case cw.format.chat && cw.stream:
 		c.Delta = &message{Role: "assistant", Content: text}
-	case o.shape.chat:
+	case cw.format.chat:
 		c.Message = &message{Role: "assistant", Content: text}
 	default:
 		c.Text = &text
 	}
-	created := o.front.now().Time().Unix()
-	return completion{ID: o.id, Object: object, Created: created, Model: o.model, Choices: []choice{c}}
+	created := cw.front.now().Time().Unix()
+	return completion{ID: cw.id, Object: object, Created: created, Model: cw.model, Choices: []choice{c}}
 }
 
-func (o *writer) event(v any) error {
+func (cw *completionWriter) writeEvent(v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
 		return err
 	}
-	if _, err := o.w.Write([]byte("data: " + string(data) + "\n\n")); err != nil {
+	if _, err := cw.w.Write([]byte("data: " + string(data) + "\n\n")); err != nil {
 		return err
 	}
-	return http.NewResponseController(o.w).Flush()
+	return http.NewResponseController(cw.w).Flush()
 }
 
-// end writes what follows the last token: the end of the stream, the whole
-// answer, or what went wrong.
-func (o *writer) end(out entry.Outcome) {
+// finish ends the response after the last token: it writes the end of the stream, the
+// complete answer, or the problem.
+func (cw *completionWriter) finish(outcome entry.Outcome) {
 	stop := "stop"
 	switch {
-	case out.Result == entry.CallerGone:
-	case out.Result != entry.Answered && o.started:
-		_ = o.event(map[string]*problem{"error": problemOf(out)})
-	case out.Result != entry.Answered:
-		problemOf(out).write(o.w)
-	case o.stream:
-		if !o.started {
-			_ = o.token("")
+	case outcome.Result == entry.CallerGone:
+	case outcome.Result != entry.Answered && cw.started:
+		_ = cw.writeEvent(map[string]*problem{"error": outcomeProblem(outcome)})
+	case outcome.Result != entry.Answered:
+		outcomeProblem(outcome).write(cw.w)
+	case cw.stream:
+		if !cw.started {
+			_ = cw.writeToken("")
 		}
-		_ = o.event(o.completion(o.shape.chunk, "", &stop))
-		_, _ = o.w.Write([]byte("data: [DONE]\n\n"))
+		_ = cw.writeEvent(cw.newCompletion(cw.format.chunk, "", &stop))
+		_, _ = cw.w.Write([]byte("data: [DONE]\n\n"))
 	default:
-		c := o.completion(o.shape.whole, o.text.String(), &stop)
-		c.Usage = &usage{CompletionTokens: o.tokens}
-		o.w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(o.w).Encode(c)
+		c := cw.newCompletion(cw.format.object, cw.text.String(), &stop)
+		c.Usage = &usage{CompletionTokens: cw.tokens}
+		cw.w.Header().Set("Content-Type", "application/json")
+		_ = json.NewEncoder(cw.w).Encode(c)
 	}
 }
