--- a/internal/settings/admin.go
+++ b/internal/settings/admin.go
@@ -2,7 +2,7 @@
 
 import "net/netip"
 
-// Admin is the HTTP listener for operators, metrics and health checks.
+// Admin configures the HTTP listener for operators, metrics and health checks.
 type Admin struct {
 	Listen string `yaml:"listen"`
 	Token  string `yaml:"token"`
--- a/internal/settings/callers.go
+++ b/internal/settings/callers.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Callers is the HTTP listener that callers reach.
+// Callers configures the HTTP listener for callers.
 type Callers struct {
 	Listen       string        `yaml:"listen"`
 	BodyLimit    int           `yaml:"body_limit"`
@@ -24,11 +24,11 @@
 func (c Callers) rules() []rule {
 	return []rule{
 		addrPort("callers.listen", c.Listen),
-		count("callers.body_limit", c.BodyLimit, 1024, 64<<20),
-		count("callers.prompt_limit", c.PromptLimit, 16, 1<<20),
-		count("callers.answer_limit", c.AnswerLimit, 1, 1<<17),
-		count("callers.held_answers", c.HeldAnswers, 0, 100_000),
-		between("callers.drain_timeout", c.DrainTimeout, time.Second, 10*time.Minute),
-		between("callers.leave_delay", c.LeaveDelay, 0, time.Minute),
+		intBetween("callers.body_limit", c.BodyLimit, 1024, 64<<20),
+		intBetween("callers.prompt_limit", c.PromptLimit, 16, 1<<20),
+		intBetween("callers.answer_limit", c.AnswerLimit, 1, 1<<17),
+		intBetween("callers.held_answers", c.HeldAnswers, 0, 100_000),
+		durationBetween("callers.drain_timeout", c.DrainTimeout, time.Second, 10*time.Minute),
+		durationBetween("callers.leave_delay", c.LeaveDelay, 0, time.Minute),
 	}
 }
--- a/internal/settings/checks.go
+++ b/internal/settings/checks.go
@@ -20,7 +20,7 @@
 func addrPort(key, value string) rule {
 	r := rule{key: key, value: value}
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		r.problem = "is not an IP number and port such as 127.0.0.1:7000"
+		r.problem = "is not an IP address and port such as 127.0.0.1:7000"
 	}
 	return r
 }
@@ -36,18 +36,18 @@
 	return r
 }
 
-func between(key string, value, least, most time.Duration) rule {
+func durationBetween(key string, value, minimum, maximum time.Duration) rule {
 	r := rule{key: key, value: value.String()}
-	if value < least || value > most {
-		r.problem = "must lie between " + least.String() + " and " + most.String()
+	if value < minimum || value > maximum {
+		r.problem = "must be between " + minimum.String() + " and " + maximum.String()
 	}
 	return r
 }
 
-func count(key string, value, least, most int) rule {
+func intBetween(key string, value, minimum, maximum int) rule {
 	r := rule{key: key, value: strconv.Itoa(value)}
-	if value < least || value > most {
-		r.problem = "must lie between " + strconv.Itoa(least) + " and " + strconv.Itoa(most)
+	if value < minimum || value > maximum {
+		r.problem = "must be between " + strconv.Itoa(minimum) + " and " + strconv.Itoa(maximum)
 	}
 	return r
 }
--- a/internal/settings/claims.go
+++ b/internal/settings/claims.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Claims is how at-most-once claims are batched into the platform's service.
+// Claims configures how at-most-once claims are batched into writes to the platform's
+// key-value service.
 type Claims struct {
 	Shards   int           `yaml:"shards"`
 	Interval time.Duration `yaml:"interval"`
@@ -10,7 +11,7 @@
 
 func (c Claims) rules() []rule {
 	return []rule{
-		count("claims.shards", c.Shards, 1, 4096),
-		between("claims.interval", c.Interval, time.Millisecond, 10*time.Second),
+		intBetween("claims.shards", c.Shards, 1, 4096),
+		durationBetween("claims.interval", c.Interval, time.Millisecond, 10*time.Second),
 	}
 }
--- a/internal/settings/dispatch.go
+++ b/internal/settings/dispatch.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Dispatch is how the dispatcher of a cell decides.
+// Dispatch configures the dispatchers of cells and the announcements of entries to them.
 type Dispatch struct {
 	Policy      string        `yaml:"policy"`
 	Announce    time.Duration `yaml:"announce"`
@@ -14,8 +14,8 @@
 func (d Dispatch) rules() []rule {
 	return []rule{
 		oneOf("dispatch.policy", d.Policy, "joint", "lagged", "round_robin"),
-		between("dispatch.announce", d.Announce, 50*time.Millisecond, 10*time.Second),
-		between("dispatch.owner_expiry", d.OwnerExpiry, 2*d.Announce, time.Minute),
-		between("dispatch.listing", d.Listing, 50*time.Millisecond, time.Minute),
+		durationBetween("dispatch.announce", d.Announce, 50*time.Millisecond, 10*time.Second),
+		durationBetween("dispatch.owner_expiry", d.OwnerExpiry, 2*d.Announce, time.Minute),
+		durationBetween("dispatch.listing", d.Listing, 50*time.Millisecond, time.Minute),
 	}
 }
--- a/internal/settings/log.go
+++ b/internal/settings/log.go
@@ -1,6 +1,6 @@
 package settings
 
-// Log is what the process writes about its changes of state.
+// Log configures the log, which reports the state changes of this process.
 type Log struct {
 	Level string `yaml:"level"`
 }
--- a/internal/settings/peers.go
+++ b/internal/settings/peers.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Peers is the QUIC listener between our own processes and its mutual TLS.
+// Peers configures the QUIC listener for other trailshed processes, its mutual TLS and
+// the heartbeats.
 type Peers struct {
 	Listen      string        `yaml:"listen"`
 	Seeds       []string      `yaml:"seeds"`
@@ -23,7 +24,7 @@
 	return netip.MustParseAddrPort(p.Listen)
 }
 
-// SeedAddresses returns the parsed addresses of first contact.
+// SeedAddresses returns the parsed addresses of the seeds.
 func (p Peers) SeedAddresses() []netip.AddrPort {
 	seeds := make([]netip.AddrPort, 0, len(p.Seeds))
 	for _, s := range p.Seeds {
@@ -38,9 +39,9 @@
 		readable("peers.ca", p.CA),
 		readable("peers.certificate", p.Certificate),
 		readable("peers.key", p.Key),
-		between("peers.heartbeat", p.Heartbeat, 50*time.Millisecond, 10*time.Second),
-		between("peers.gone_after", p.GoneAfter, 3*p.Heartbeat, 5*time.Minute),
-		count("peers.fanout", p.Fanout, 1, 16),
+		durationBetween("peers.heartbeat", p.Heartbeat, 50*time.Millisecond, 10*time.Second),
+		durationBetween("peers.gone_after", p.GoneAfter, 3*p.Heartbeat, 5*time.Minute),
+		intBetween("peers.fanout", p.Fanout, 1, 16),
 	}
 	for i, s := range p.Seeds {
 		all = append(all, addrPort("peers.seeds["+strconv.Itoa(i)+"]", s))
--- a/internal/settings/platform.go
+++ b/internal/settings/platform.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Platform is the platform's key-value service.
+// Platform configures the connection to the platform's key-value service.
 type Platform struct {
 	Address string        `yaml:"address"`
 	Timeout time.Duration `yaml:"timeout"`
@@ -20,7 +20,7 @@
 func (p Platform) rules() []rule {
 	return []rule{
 		addrPort("platform.address", p.Address),
-		between("platform.timeout", p.Timeout, 10*time.Millisecond, time.Minute),
-		between("platform.watch", p.Watch, 100*time.Millisecond, 5*time.Minute),
+		durationBetween("platform.timeout", p.Timeout, 10*time.Millisecond, time.Minute),
+		durationBetween("platform.watch", p.Watch, 100*time.Millisecond, 5*time.Minute),
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads and checks the YAML settings of one process.
+// Package settings loads and validates the YAML settings of one process.
 package settings
 
 import (
@@ -13,15 +13,15 @@
 	"github.com/zeebo/errs"
 )
 
-// Error marks every error of this package.
+// Error is the class of all errors of this package.
 var Error = errs.Class("settings")
 
-// Default is the commented file that `trailshed check --print-default` shows.
+// Default is the commented settings file that `trailshed check --print-default` prints.
 //
 //go:embed default.yaml
 var Default []byte
 
-// Settings are all settings of one process, a section for each concern.
+// Settings holds all settings of one process, by section of the file.
 type Settings struct {
 	Node     Node     `yaml:"node"`
 	Peers    Peers    `yaml:"peers"`
@@ -33,15 +33,15 @@
 	Log      Log      `yaml:"log"`
 }
 
-// rule is one check of a value; problem is empty when the value is fine.
+// rule is the result of validating one value; problem is empty if the value is valid.
 type rule struct {
 	key     string
 	value   string
 	problem string
 }
 
-// Load reads, fills with defaults and checks the settings in file. Errors name
-// the file, the line, the key and the value.
+// Load reads the settings in file, adds the defaults and validates the result. Its
+// errors give the file, line, key and value.
 func Load(file string) (*Settings, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -50,7 +50,7 @@
 	return Parse(file, data)
 }
 
-// Parse checks data as Load does; file only names it in errors.
+// Parse parses and validates data as Load does. The file name appears only in errors.
 func Parse(file string, data []byte) (*Settings, error) {
 	s := &Settings{}
 	if err := yaml.Unmarshal(Default, s); err != nil {
@@ -63,24 +63,24 @@
 	if err != nil {
 		return nil, Error.New("%s: %v", file, err)
 	}
-	var group errs.Group
+	var problems errs.Group
 	for _, r := range s.rules() {
 		if r.problem != "" {
-			group.Add(Error.New("%s:%d: %s: %q %s", file, lineOf(tree, r.key), r.key, r.value, r.problem))
+			problems.Add(Error.New("%s:%d: %s: %q %s", file, findLine(tree, r.key), r.key, r.value, r.problem))
 		}
 	}
-	if err := group.Err(); err != nil {
+	if err := problems.Err(); err != nil {
 		return nil, err
 	}
 	return s, nil
 }
 
-// syntaxError puts the position in front, as in all other errors.
+// syntaxError starts the message with the position, as all other errors of Parse do.
 func syntaxError(file string, err error) error {
-	var at yaml.Error
-	if errors.As(err, &at) && at.GetToken() != nil {
-		t := at.GetToken()
-		return Error.New("%s:%d: %s: %q", file, t.Position.Line, at.GetMessage(), strings.TrimSpace(t.Value))
+	var yamlErr yaml.Error
+	if errors.As(err, &yamlErr) && yamlErr.GetToken() != nil {
+		token := yamlErr.GetToken()
+		return Error.New("%s:%d: %s: %q", file, token.Position.Line, yamlErr.GetMessage(), strings.TrimSpace(token.Value))
 	}
 	return Error.New("%s: %v", file, err)
 }
@@ -98,9 +98,9 @@
 	return all
 }
 
-// lineOf finds the line of a dotted key, or of its nearest parent that stands
-// in the file; 1 when none does.
-func lineOf(tree *ast.File, key string) int {
+// findLine returns the line of a dotted key or, if it is not in the file, of its
+// nearest parent that is. It returns 1 if there is none.
+func findLine(tree *ast.File, key string) int {
 	for key != "" {
 		path, err := yaml.PathString("$." + key)
 		if err == nil {
@@ -108,11 +108,11 @@
 				return node.GetToken().Position.Line
 			}
 		}
-		cut := strings.LastIndexByte(key, '.')
-		if cut < 0 {
+		dot := strings.LastIndexByte(key, '.')
+		if dot < 0 {
 			break
 		}
-		key = key[:cut]
+		key = key[:dot]
 	}
 	return 1
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -11,7 +11,7 @@
 	"github.com/trailshed/trailshed/internal/settings"
 )
 
-// good is a whole file; tests replace one line of it.
+// good is a complete settings file; each test replaces one line of it.
 const good = `node:
   id: n1
   zone: a
@@ -36,11 +36,11 @@
 		name string
 		old  string
 		new  string
-		want []string // parts of the error; none: the file is good
+		want []string // substrings of the error; nil if the file is valid
 	}{
 		{"good", "", "", nil},
 		{"unknown key", "  zone: a", "  zoen: a", []string{"f.yaml:3: ", "unknown field", `"zoen"`}},
-		{"name instead of IP number", "127.0.0.1:7101", "localhost:7101", []string{"f.yaml:10", "callers.listen", "localhost:7101"}},
+		{"host name instead of IP address", "127.0.0.1:7101", "localhost:7101", []string{"f.yaml:10", "callers.listen", "localhost:7101"}},
 		{"empty zone", "  zone: a", "  zone: ''", []string{"f.yaml:3", "node.zone", "must not be empty"}},
 		{"missing certificate", "  key: CA", "  key: /nowhere", []string{"f.yaml:8", "peers.key", "/nowhere"}},
 		{"policy", "platform:", "dispatch:\n  policy: best\nplatform:", []string{"f.yaml:15", "dispatch.policy", "best", "joint"}},
