--- a/internal/query/statement.go
+++ b/internal/query/statement.go
@@ -1,5 +1,6 @@
-// Package query is the operators' small language: what is running, who waits
-// and why, and the commands that change the configuration.
+// Package query parses the statements of operators and formats the answers.
+// Statements list what is running and what is queued and why, and change the
+// configuration.
 package query
 
 import (
@@ -12,10 +13,10 @@
 	"github.com/zeebo/errs"
 )
 
-// Error marks every error of this package.
+// Error is the class of all errors of this package.
 var Error = errs.Class("query")
 
-// Statement is one line of the language; exactly one field is set.
+// Statement is one parsed statement; exactly one field is set.
 type Statement struct {
 	Show    *Show    `parser:"  'show' @@"`
 	Explain *Explain `parser:"| 'explain' @@"`
@@ -28,84 +29,84 @@
 	Start   *Target  `parser:"| 'start' @@"`
 }
 
-// Show lists things, those that match every condition.
+// Show lists the rows of a table that match every condition.
 type Show struct {
 	What  string      `parser:"@Word"`
 	Where []Condition `parser:"('where' @@ ('and' @@)*)?"`
 	Limit int         `parser:"('limit' @Word)?"`
 }
 
-// Condition is a column that must have a value.
+// Condition requires that a column has a value.
 type Condition struct {
 	Column string `parser:"@Word '='"`
 	Value  string `parser:"(@Word | @String)"`
 }
 
-// Explain tells the decisions about one request.
+// Explain lists the decisions made about one request.
 type Explain struct {
 	Request string `parser:"(@Word | @String)"`
 }
 
-// Edit gives an aggregate's fields values.
+// Edit names an aggregate and the values of its fields, to create or set.
 type Edit struct {
 	Noun   string       `parser:"@Word"`
 	Name   string       `parser:"(@Word | @String)"`
 	Fields []Assignment `parser:"(@@ (',' @@)*)?"`
 }
 
-// Assignment is one field with its new value.
+// Assignment sets one field to a value.
 type Assignment struct {
 	Field string `parser:"@Word '='"`
 	Value string `parser:"(@Word | @String)"`
 }
 
-// Name names an aggregate.
+// Name identifies an aggregate.
 type Name struct {
 	Noun string `parser:"@Word"`
 	Name string `parser:"(@Word | @String)"`
 }
 
-// Target names what drain, undrain, stop and start act on.
+// Target identifies the endpoint or pool that drain, undrain, stop or start changes.
 type Target struct {
 	Noun string `parser:"@('endpoint' | 'pool')"`
 	Name string `parser:"(@Word | @String)"`
 }
 
-var language = lexer.MustSimple([]lexer.SimpleRule{
+var statementLexer = lexer.MustSimple([]lexer.SimpleRule{
 	{Name: "String", Pattern: `"[^"]*"`},
 	{Name: "Punct", Pattern: `[=,]`},
 	{Name: "Word", Pattern: `[^\s=,"]+`},
 	{Name: "space", Pattern: `\s+`},
 })
 
-var grammar = participle.MustBuild[Statement](participle.Lexer(language), participle.Unquote("String"))
+var statementParser = participle.MustBuild[Statement](participle.Lexer(statementLexer), participle.Unquote("String"))
 
-// SyntaxError points at the column where a statement cannot be understood.
+// SyntaxError reports the column at which a statement cannot be parsed.
 type SyntaxError struct {
 	Statement string
 	Column    int // from 1
 	Message   string
 }
 
-// Error shows the statement with a mark under the column.
+// Error returns the message and the statement with a marker under the column.
 func (e *SyntaxError) Error() string {
-	mark := strings.Repeat(" ", max(e.Column-1, 0)) + "^"
-	return fmt.Sprintf("column %d: %s\n  %s\n  %s", e.Column, e.Message, e.Statement, mark)
+	marker := strings.Repeat(" ", max(e.Column-1, 0)) + "^"
+	return fmt.Sprintf("column %d: %s\n  %s\n  %s", e.Column, e.Message, e.Statement, marker)
 }
 
-// Parse reads one statement; its error is a *SyntaxError.
+// Parse parses one statement. Its error is always a *SyntaxError.
 func Parse(text string) (*Statement, error) {
-	s, err := grammar.ParseString("", text)
+	s, err := statementParser.ParseString("", text)
 	if err == nil {
 		return s, nil
 	}
-	syntax := &SyntaxError{Statement: text, Column: 1, Message: err.Error()}
-	var where participle.Error
-	if errors.As(err, &where) {
-		syntax.Column, syntax.Message = where.Position().Column, where.Message()
+	syntaxErr := &SyntaxError{Statement: text, Column: 1, Message: err.Error()}
+	var parseErr participle.Error
+	if errors.As(err, &parseErr) {
+		syntaxErr.Column, syntaxErr.Message = parseErr.Position().Column, parseErr.Message()
 	}
-	return nil, syntax
+	return nil, syntaxErr
 }
 
-// Reads says whether a statement changes nothing.
+// Reads reports whether a statement is read-only.
 func (s *Statement) Reads() bool { return s.Show != nil || s.Explain != nil }
--- a/internal/query/table.go
+++ b/internal/query/table.go
@@ -8,18 +8,18 @@
 	"text/tabwriter"
 )
 
-// Table is the answer to a statement.
+// Table is the answer to a statement, collected from one or several nodes.
 type Table struct {
 	Columns  []string   `cbor:"1,keyasint" json:"columns"`
 	Rows     [][]string `cbor:"2,keyasint" json:"rows"`
-	Unheard  []string   `cbor:"3,keyasint" json:"unheard"` // nodes whose rows are missing
+	Unheard  []string   `cbor:"3,keyasint" json:"unheard"` // nodes and zones that did not answer, so that their rows are missing
 	Revision int64      `cbor:"4,keyasint" json:"revision"`
 }
 
 // Add appends a row.
 func (t *Table) Add(values ...string) { t.Rows = append(t.Rows, values) }
 
-// Merge takes over the rows of another node's answer.
+// Merge appends the rows of another node's answer. The columns of the first answer stay.
 func (t *Table) Merge(o Table) {
 	if len(t.Columns) == 0 {
 		t.Columns = o.Columns
@@ -28,12 +28,13 @@
 	t.Unheard = append(t.Unheard, o.Unheard...)
 }
 
-// Filter keeps the rows that match and at most limit of them, sorted.
+// Filter keeps the rows that match all conditions, sorts them and cuts them off
+// at limit if it is positive.
 func (t *Table) Filter(where []Condition, limit int) error {
 	for _, c := range where {
 		column := slices.Index(t.Columns, c.Column)
 		if column < 0 {
-			return Error.New("no column %q; there are %s", c.Column, strings.Join(t.Columns, ", "))
+			return Error.New("unknown column %q; available columns: %s", c.Column, strings.Join(t.Columns, ", "))
 		}
 		t.Rows = slices.DeleteFunc(t.Rows, func(r []string) bool { return r[column] != c.Value })
 	}
@@ -44,16 +45,16 @@
 	return nil
 }
 
-// Write prints the table for people.
+// Write prints the table in aligned columns, followed by the nodes that did not answer.
 func (t *Table) Write(w io.Writer) error {
-	out := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	if len(t.Columns) > 0 {
-		_, _ = fmt.Fprintln(out, strings.ToUpper(strings.Join(t.Columns, "\t")))
+		_, _ = fmt.Fprintln(tw, strings.ToUpper(strings.Join(t.Columns, "\t")))
 	}
 	for _, r := range t.Rows {
-		_, _ = fmt.Fprintln(out, strings.Join(r, "\t"))
+		_, _ = fmt.Fprintln(tw, strings.Join(r, "\t"))
 	}
-	if err := out.Flush(); err != nil {
+	if err := tw.Flush(); err != nil {
 		return Error.Wrap(err)
 	}
 	if len(t.Unheard) > 0 {
