--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,5 +1,6 @@
-// Package operator answers operators' statements on any process: it asks the
-// others for what only they know, and submits commands to the change log.
+// Package operator executes the statements of operators on any process. It requests
+// from other processes the rows that only they have, and submits commands to the
+// change log.
 package operator
 
 import (
@@ -23,24 +24,25 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// Error marks every error of this package.
+// Error is the class of all errors of this package.
 var Error = errs.Class("operator")
 
 const (
-	topicRows = "operator.rows"
-	hearLimit = time.Second // how long to wait for another process's rows
+	topicRows   = "operator.rows"
+	rowsTimeout = time.Second // timeout of a request for the rows of another process
 )
 
-// Options are the seams of an operator's desk.
+// Options are the settings and dependencies of a Desk.
 type Options struct {
 	Zone string
 	Now  func() clock.Millis
-	// Members returns the known live processes.
+	// Members returns the known running processes, this one among them.
 	Members func() []member.Member
-	Cells   func() []member.CellStatus
+	// Cells returns the status of the known cells.
+	Cells func() []member.CellStatus
 }
 
-// Desk answers statements.
+// Desk executes statements of operators.
 type Desk struct {
 	options    Options
 	log        *changelog.Log
@@ -48,31 +50,31 @@
 	transport  *peer.Transport
 }
 
-// New returns a desk.
+// New returns a Desk.
 func New(o Options, l *changelog.Log, d *dispatcher.Dispatcher, t *peer.Transport) *Desk {
 	return &Desk{options: o, log: l, dispatcher: d, transport: t}
 }
 
-// rowsQuestion asks a process for its own rows, with Spread for those of its
-// whole zone.
-type rowsQuestion struct {
-	What    string `cbor:"1,keyasint"`
-	Request string `cbor:"2,keyasint"`
-	Spread  bool   `cbor:"3,keyasint"`
+// rowsRequest asks a process for its own rows or, if WholeZone is set, for those of all
+// processes in its zone.
+type rowsRequest struct {
+	Table     string `cbor:"1,keyasint"`
+	Request   string `cbor:"2,keyasint"`
+	WholeZone bool   `cbor:"3,keyasint"`
 }
 
-// Register adds the handler of other processes' questions.
+// Register adds the handler for row requests from other processes.
 func (d *Desk) Register(r *message.Router) {
-	peer.Answer(r, d.transport, topicRows, func(ctx context.Context, _ peer.Sender, q rowsQuestion) query.Table {
-		if q.Spread {
-			return d.zoneRows(ctx, q)
+	peer.Answer(r, d.transport, topicRows, func(ctx context.Context, _ peer.Sender, req rowsRequest) query.Table {
+		if req.WholeZone {
+			return d.zoneRows(ctx, req)
 		}
-		return d.ownRows(q)
+		return d.ownRows(req)
 	})
 }
 
-// Do answers one statement for the operator called who. Base is the revision
-// that a command was decided on; 0 stands for the present one.
+// Do executes one statement for the operator named who. Base is the configuration
+// revision on which the operator based a command; 0 means the current revision.
 func (d *Desk) Do(ctx context.Context, text, who string, base int64) (query.Table, error) {
 	s, err := query.Parse(text)
 	if err != nil {
@@ -83,31 +85,31 @@
 	case s.Show != nil:
 		t, err = d.show(ctx, s.Show)
 	case s.Explain != nil:
-		t = d.gather(ctx, rowsQuestion{What: whatExplain, Request: s.Explain.Request})
+		t = d.gather(ctx, rowsRequest{Table: tableExplain, Request: s.Explain.Request})
 		err = t.Filter(nil, 0)
 	default:
-		t, err = d.change(ctx, s, who, base)
+		t, err = d.submitCommand(ctx, s, who, base)
 	}
 	t.Revision = d.log.Current().Revision
 	return t, err
 }
 
 func (d *Desk) show(ctx context.Context, s *query.Show) (query.Table, error) {
-	t, err := d.shown(ctx, s.What)
+	t, err := d.rows(ctx, s.What)
 	if err != nil {
 		return t, err
 	}
 	return t, t.Filter(s.Where, s.Limit)
 }
 
-// change turns a command into a change of one aggregate.
-func (d *Desk) change(ctx context.Context, s *query.Statement, who string, base int64) (query.Table, error) {
+// submitCommand submits a command as a change of one aggregate and returns its audit row.
+func (d *Desk) submitCommand(ctx context.Context, s *query.Statement, who string, base int64) (query.Table, error) {
 	ch := catalog.Change{ID: uuid.NewString(), Who: who, When: d.options.Now()}
 	switch {
 	case s.Create != nil:
-		ch.Verb, ch.Noun, ch.Name, ch.To = catalog.VerbCreate, s.Create.Noun, s.Create.Name, fields(s.Create)
+		ch.Verb, ch.Noun, ch.Name, ch.To = catalog.VerbCreate, s.Create.Noun, s.Create.Name, assignedFields(s.Create)
 	case s.Set != nil:
-		ch.Verb, ch.Noun, ch.Name, ch.To = catalog.VerbSet, s.Set.Noun, s.Set.Name, fields(s.Set)
+		ch.Verb, ch.Noun, ch.Name, ch.To = catalog.VerbSet, s.Set.Noun, s.Set.Name, assignedFields(s.Set)
 	case s.Delete != nil:
 		ch.Verb, ch.Noun, ch.Name = catalog.VerbDelete, s.Delete.Noun, s.Delete.Name
 	default:
@@ -128,8 +130,9 @@
 	return t, nil
 }
 
-// fields reads an edit's assignments. A workspace's key is kept only as a hash.
-func fields(e *query.Edit) []catalog.Field {
+// assignedFields returns the assignments of an edit. The key of a workspace is replaced
+// by its hash, so that the key itself is not stored.
+func assignedFields(e *query.Edit) []catalog.Field {
 	var all []catalog.Field
 	for _, a := range e.Fields {
 		f := catalog.Field{Name: a.Field, Value: a.Value}
@@ -142,11 +145,11 @@
 	return all
 }
 
-// states are the words for setting an endpoint's or a pool's state.
-var states = []struct {
-	verb  func(*query.Statement) *query.Target
-	noun  string
-	state string
+// stateCommands lists the commands that set the state of an endpoint or pool.
+var stateCommands = []struct {
+	target func(*query.Statement) *query.Target
+	noun   string
+	state  string
 }{
 	{func(s *query.Statement) *query.Target { return s.Drain }, catalog.NounEndpoint, catalog.EndpointDraining},
 	{func(s *query.Statement) *query.Target { return s.Undrain }, catalog.NounEndpoint, catalog.EndpointServing},
@@ -154,49 +157,51 @@
 	{func(s *query.Statement) *query.Target { return s.Start }, catalog.NounPool, catalog.PoolRunning},
 }
 
+// stateChange fills in a change from a command of stateCommands.
 func stateChange(ch catalog.Change, s *query.Statement) (catalog.Change, error) {
-	for _, st := range states {
-		target := st.verb(s)
+	for _, command := range stateCommands {
+		target := command.target(s)
 		if target == nil {
 			continue
 		}
-		if target.Noun != st.noun {
-			return ch, Error.New("this command takes a %s, not a %s", st.noun, target.Noun)
+		if target.Noun != command.noun {
+			return ch, Error.New("this command requires a %s, not a %s", command.noun, target.Noun)
 		}
 		ch.Verb, ch.Noun, ch.Name = catalog.VerbSet, target.Noun, target.Name
-		ch.To = []catalog.Field{{Name: "state", Value: st.state}}
+		ch.To = []catalog.Field{{Name: "state", Value: command.state}}
 		return ch, nil
 	}
-	return ch, Error.New("not a command")
+	return ch, Error.New("unsupported command")
 }
 
-// gather asks the own zone's processes and one contact of every other zone.
-func (d *Desk) gather(ctx context.Context, q rowsQuestion) query.Table {
+// gather collects rows from all processes: directly in the own zone, and through one
+// process of each other zone.
+func (d *Desk) gather(ctx context.Context, req rowsRequest) query.Table {
 	byZone := map[string][]member.Member{}
 	for _, m := range d.options.Members() {
 		if m.Zone != d.options.Zone {
 			byZone[m.Zone] = append(byZone[m.Zone], m)
 		}
 	}
-	asks := []func() query.Table{func() query.Table { return d.zoneRows(ctx, q) }}
-	spread := q
-	spread.Spread = true
+	queries := []func() query.Table{func() query.Table { return d.zoneRows(ctx, req) }}
+	zoneReq := req
+	zoneReq.WholeZone = true
 	for zone, contacts := range byZone {
-		asks = append(asks, func() query.Table { return d.askFirst(ctx, zone, contacts, spread) })
+		queries = append(queries, func() query.Table { return d.askZone(ctx, zone, contacts, zoneReq) })
 	}
-	all := together(asks)
+	all := askAll(queries)
 	slices.Sort(all.Unheard)
 	return all
 }
 
-// together asks at the same time and merges the answers.
-func together(asks []func() query.Table) query.Table {
+// askAll runs the queries concurrently and merges the answers.
+func askAll(queries []func() query.Table) query.Table {
 	var mu sync.Mutex
 	var group sync.WaitGroup
 	var all query.Table
-	for _, ask := range asks {
+	for _, fetch := range queries {
 		group.Go(func() {
-			t := ask()
+			t := fetch()
 			mu.Lock()
 			defer mu.Unlock()
 			all.Merge(t)
@@ -206,40 +211,41 @@
 	return all
 }
 
-// askFirst takes the answer of the first contact that gives one.
-func (d *Desk) askFirst(ctx context.Context, zone string, contacts []member.Member, q rowsQuestion) query.Table {
+// askZone returns the rows of another zone from the first of its processes that answers.
+func (d *Desk) askZone(ctx context.Context, zone string, contacts []member.Member, req rowsRequest) query.Table {
 	for _, m := range contacts {
-		if t, err := d.ask(ctx, m, q); err == nil {
+		if t, err := d.requestRows(ctx, m, req); err == nil {
 			return t
 		}
 	}
 	return query.Table{Unheard: []string{"zone " + zone}}
 }
 
-func (d *Desk) zoneRows(ctx context.Context, q rowsQuestion) query.Table {
-	q.Spread = false
-	asks := []func() query.Table{func() query.Table { return d.ownRows(q) }}
+// zoneRows collects the rows of all processes in the own zone.
+func (d *Desk) zoneRows(ctx context.Context, req rowsRequest) query.Table {
+	req.WholeZone = false
+	queries := []func() query.Table{func() query.Table { return d.ownRows(req) }}
 	for _, m := range d.options.Members() {
 		if m.Zone != d.options.Zone || m.Address == d.transport.Address() {
 			continue
 		}
-		asks = append(asks, func() query.Table {
-			t, err := d.ask(ctx, m, q)
+		queries = append(queries, func() query.Table {
+			t, err := d.requestRows(ctx, m, req)
 			if err != nil {
 				return query.Table{Unheard: []string{m.ID}}
 			}
 			return t
 		})
 	}
-	return together(asks)
+	return askAll(queries)
 }
 
-func (d *Desk) ask(ctx context.Context, m member.Member, q rowsQuestion) (query.Table, error) {
-	limit := hearLimit
-	if q.Spread {
-		limit *= 2
+func (d *Desk) requestRows(ctx context.Context, m member.Member, req rowsRequest) (query.Table, error) {
+	timeout := rowsTimeout
+	if req.WholeZone {
+		timeout *= 2
 	}
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return peer.Ask[rowsQuestion, query.Table](ctx, d.transport, m.Address, topicRows, q)
+	return peer.Ask[rowsRequest, query.Table](ctx, d.transport, m.Address, topicRows, req)
 }
--- a/internal/operator/rows.go
+++ b/internal/operator/rows.go
@@ -13,15 +13,15 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// What can be shown besides the aggregates.
+// Tables besides those of the aggregates.
 const (
-	whatRunning = "running"
-	whatWaiting = "waiting"
-	whatLoad    = "load"
-	whatCells   = "cells"
-	whatMembers = "members"
-	whatAudit   = "audit"
-	whatExplain = "explain"
+	tableRunning = "running"
+	tableWaiting = "waiting"
+	tableLoad    = "load"
+	tableCells   = "cells"
+	tableMembers = "members"
+	tableAudit   = "audit"
+	tableExplain = "explain"
 )
 
 var (
@@ -34,29 +34,29 @@
 	explainColumns = []string{"at", "attempt", "what", "wait", "prefill", "cached", "link", "step", "budget"}
 )
 
-// shown returns the rows of a noun, of the whole fleet.
-func (d *Desk) shown(ctx context.Context, what string) (query.Table, error) {
-	switch what {
-	case whatRunning, whatWaiting, whatLoad:
-		return d.gather(ctx, rowsQuestion{What: what}), nil
-	case whatCells:
+// rows returns the rows of a table for the whole fleet.
+func (d *Desk) rows(ctx context.Context, table string) (query.Table, error) {
+	switch table {
+	case tableRunning, tableWaiting, tableLoad:
+		return d.gather(ctx, rowsRequest{Table: table}), nil
+	case tableCells:
 		return d.cellRows(), nil
-	case whatMembers:
+	case tableMembers:
 		return d.memberRows(), nil
-	case whatAudit:
+	case tableAudit:
 		return d.auditRows(), nil
 	}
 	for _, noun := range catalog.Nouns() {
-		if what == noun || what == plural(noun) {
+		if table == noun || table == plural(noun) {
 			return d.aggregateRows(noun), nil
 		}
 	}
-	return query.Table{}, Error.New("cannot show %q; there are %s", what, strings.Join(Shows(), ", "))
+	return query.Table{}, Error.New("unknown table %q; available tables: %s", table, strings.Join(Shows(), ", "))
 }
 
-// Shows lists what can be shown.
+// Shows returns the names of all tables that a show statement can list.
 func Shows() []string {
-	all := []string{whatRunning, whatWaiting, whatLoad, whatCells, whatMembers, whatAudit}
+	all := []string{tableRunning, tableWaiting, tableLoad, tableCells, tableMembers, tableAudit}
 	for _, noun := range catalog.Nouns() {
 		all = append(all, plural(noun))
 	}
@@ -70,20 +70,20 @@
 	return noun + "s"
 }
 
-// ownRows returns what only this process knows.
-func (d *Desk) ownRows(q rowsQuestion) query.Table {
+// ownRows returns the rows of the cells that this process dispatches.
+func (d *Desk) ownRows(req rowsRequest) query.Table {
 	var t query.Table
 	now := d.options.Now()
 	d.dispatcher.Each(func(name catalog.Cell, c *cell.Cell) {
-		switch q.What {
-		case whatRunning:
+		switch req.Table {
+		case tableRunning:
 			addRunning(&t, now, name, c)
-		case whatWaiting:
+		case tableWaiting:
 			addWaiting(&t, now, name, c)
-		case whatLoad:
+		case tableLoad:
 			addLoad(&t, now, name, c)
-		case whatExplain:
-			addDecisions(&t, q.Request, c)
+		case tableExplain:
+			addDecisions(&t, req.Request, c)
 		}
 	})
 	return t
@@ -128,24 +128,24 @@
 	}
 }
 
-func addDecisions(t *query.Table, request string, c *cell.Cell) {
+func addDecisions(t *query.Table, requestID string, c *cell.Cell) {
 	t.Columns = explainColumns
-	for _, e := range c.Explain(request) {
-		t.Add(stamp(e.At), string(e.Attempt), e.What, e.Terms.Wait.String(), rounded(e.Terms.Prefill),
-			strconv.Itoa(e.Terms.Cached), rounded(e.Terms.Link), rounded(e.Terms.Step), e.Terms.Budget.String())
+	for _, e := range c.Explain(requestID) {
+		t.Add(formatTime(e.At), string(e.Attempt), e.What, e.Terms.Wait.String(), formatDuration(e.Terms.Prefill),
+			strconv.Itoa(e.Terms.Cached), formatDuration(e.Terms.Link), formatDuration(e.Terms.Step), e.Terms.Budget.String())
 	}
 }
 
-func rounded(t time.Duration) string { return t.Round(100 * time.Microsecond).String() }
+func formatDuration(t time.Duration) string { return t.Round(100 * time.Microsecond).String() }
 
-func stamp(m clock.Millis) string { return m.Time().Format("2006-01-02T15:04:05.000Z") }
+func formatTime(m clock.Millis) string { return m.Time().Format("2006-01-02T15:04:05.000Z") }
 
 func (d *Desk) cellRows() query.Table {
 	t := query.Table{Columns: cellColumns}
 	now := d.options.Now()
 	for _, s := range d.options.Cells() {
 		t.Add(s.Cell.String(), s.Node, strconv.Itoa(s.Digest.Free), strconv.Itoa(s.Digest.Waiting),
-			rounded(s.Digest.Wait), now.Sub(s.Stamp).String())
+			formatDuration(s.Digest.Wait), now.Sub(s.Stamp).String())
 	}
 	return t
 }
@@ -157,7 +157,7 @@
 		if m.Leaving {
 			state = "leaving"
 		}
-		t.Add(m.ID, m.Zone, m.Address.String(), stamp(clock.Millis(m.Incarnation)), strconv.FormatInt(m.Revision, 10), state)
+		t.Add(m.ID, m.Zone, m.Address.String(), formatTime(clock.Millis(m.Incarnation)), strconv.FormatInt(m.Revision, 10), state)
 	}
 	return t
 }
@@ -172,7 +172,7 @@
 
 func auditRow(ch catalog.Change) []string {
 	revision := fmt.Sprintf("%6d", ch.Revision)
-	return []string{revision, stamp(ch.When), ch.Who, ch.Verb, ch.Noun, ch.Name, joinFields(ch.From), joinFields(ch.To)}
+	return []string{revision, formatTime(ch.When), ch.Who, ch.Verb, ch.Noun, ch.Name, joinFields(ch.From), joinFields(ch.To)}
 }
 
 func joinFields(fields []catalog.Field) string {
