--- a/internal/changelog/log.go
+++ b/internal/changelog/log.go
@@ -1,7 +1,7 @@
-// Package changelog keeps the operators' configuration in the platform's
-// service, as a log of changes with snapshots, and every process up to date
-// with it. A change is accepted by creating the key of the next revision,
-// which only one of two racing operators can do.
+// Package changelog stores the operators' configuration in the platform's key-value
+// service, as a log of changes with snapshots, and keeps the copy of each process up to
+// date. A change is accepted by creating the key of the next revision, which only one of
+// several concurrent operators can do.
 package changelog
 
 import (
@@ -23,24 +23,25 @@
 	"github.com/trailshed/trailshed/internal/ticker"
 )
 
-// Error marks every error of this package.
+// Error is the class of all errors of this package.
 var Error = errs.Class("change log")
 
 var (
-	// ErrRaced says that what a command was decided on has changed since.
-	ErrRaced = errors.New("changed by another operator meanwhile")
-	// ErrUnavailable says that the platform did not take the command.
+	// ErrRaced means that the aggregate of a command has changed since the revision on
+	// which the command was based.
+	ErrRaced = errors.New("concurrently changed by another operator")
+	// ErrUnavailable means that the platform did not accept the command.
 	ErrUnavailable = errors.New("platform is unavailable")
 )
 
 const (
-	logPrefix     = "config/log/"
-	historyKept   = 1024
-	snapshotEvery = 64
-	listPage      = 256
-	retryPause    = 200 * time.Millisecond
-	submitPause   = 5 * time.Millisecond // doubled after each lost race, with a random part
-	submitTries   = 40
+	logPrefix            = "config/log/"
+	maxHistory           = 1024
+	revisionsPerSnapshot = 64
+	listPageSize         = 256
+	retryDelay           = 200 * time.Millisecond
+	initialSubmitDelay   = 5 * time.Millisecond // grows exponentially, with jitter, after each failed attempt
+	maxSubmitAttempts    = 40
 )
 
 // Log is a process's copy of the configuration. Its methods may be called
@@ -49,41 +50,42 @@
 	store *platform.Store
 	scope tally.Scope
 	log   zerolog.Logger
-	// Changed is called after each new revision, without any lock held.
+	// Changed is called after each new revision, without a lock held.
 	Changed func(*catalog.Catalog)
 
 	current atomic.Pointer[catalog.Catalog]
 	loaded  atomic.Bool
-	mu      sync.Mutex // guards history and the step to the next revision
+	mu      sync.Mutex // guards history and updates of current
 	history []catalog.Change
 }
 
-// New returns an empty copy.
+// New returns a Log without configuration.
 func New(store *platform.Store, scope tally.Scope, log zerolog.Logger) *Log {
 	l := &Log{store: store, scope: scope, log: log, Changed: func(*catalog.Catalog) {}}
 	l.current.Store(catalog.New())
 	return l
 }
 
-// Current returns the newest configuration known here.
+// Current returns the newest configuration known to this process.
 func (l *Log) Current() *catalog.Catalog { return l.current.Load() }
 
-// Loaded says whether the whole configuration came from the platform or a peer,
-// so that this process may serve. A first part of it is not enough.
+// Loaded reports whether this process has received the complete configuration from the
+// platform or a peer and may therefore serve requests. Part of the configuration is not
+// enough.
 func (l *Log) Loaded() bool { return l.loaded.Load() }
 
-// History returns the newest changes known here, oldest first.
+// History returns the newest changes known to this process, oldest first.
 func (l *Log) History() []catalog.Change {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]catalog.Change(nil), l.history...)
 }
 
-// Take applies changes that follow the present revision and passes over older
-// ones, so that nothing ever reverts. It reports a gap as an error.
+// Take applies changes that follow the current revision and ignores older ones, so that
+// the configuration never goes back. It returns an error if a revision is missing.
 func (l *Log) Take(changes ...catalog.Change) error {
 	for _, ch := range changes {
-		next, err := l.take(ch)
+		next, err := l.apply(ch)
 		if err != nil {
 			return err
 		}
@@ -94,7 +96,9 @@
 	return nil
 }
 
-func (l *Log) take(ch catalog.Change) (*catalog.Catalog, error) {
+// apply applies one change. It returns nil if the change is not newer than the current
+// revision.
+func (l *Log) apply(ch catalog.Change) (*catalog.Catalog, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.Current()
@@ -107,15 +111,16 @@
 	}
 	l.current.Store(next)
 	l.history = append(l.history, ch)
-	if len(l.history) > historyKept {
-		l.history = l.history[len(l.history)-historyKept:]
+	if len(l.history) > maxHistory {
+		l.history = l.history[len(l.history)-maxHistory:]
 	}
 	l.scope.Gauge("config_revision").Update(float64(next.Revision))
 	return next, nil
 }
 
-// replace jumps to a snapshot when it is newer.
-func (l *Log) replace(next *catalog.Catalog) {
+// adopt replaces the configuration with a snapshot if that is newer, and clears the
+// history, which the snapshot does not contain.
+func (l *Log) adopt(next *catalog.Catalog) {
 	l.mu.Lock()
 	newer := next.Revision > l.Current().Revision
 	if newer {
@@ -128,14 +133,14 @@
 	}
 }
 
-// Submit makes a change the next revision. Base is the revision that the
-// command was decided on: when its aggregate changed since, nothing is done and
-// the error tells by whom.
+// Submit stores a change as the next revision. Base is the revision on which the command
+// was based: if its aggregate has changed since, Submit stores nothing and returns
+// ErrRaced with the revision and operator of the other change.
 func (l *Log) Submit(ctx context.Context, ch catalog.Change, base int64) (catalog.Change, error) {
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval, pause.MaxInterval = submitPause, retryPause
-	for range submitTries {
-		if other, ok := l.changedSince(base, ch); ok {
+	delay := backoff.NewExponentialBackOff()
+	delay.InitialInterval, delay.MaxInterval = initialSubmitDelay, retryDelay
+	for range maxSubmitAttempts {
+		if other, ok := l.conflictingChange(base, ch); ok {
 			return ch, Error.Wrap(fmt.Errorf("%w: revision %d by %s", ErrRaced, other.Revision, other.Who))
 		}
 		now := l.Current()
@@ -145,7 +150,7 @@
 		}
 		done, err := l.create(ctx, ch)
 		if err == nil && done {
-			return ch, l.accepted(ctx, ch)
+			return ch, l.applyAccepted(ctx, ch)
 		}
 		if err != nil && ctx.Err() != nil {
 			return ch, Error.Wrap(fmt.Errorf("%w: %w", ErrUnavailable, err))
@@ -153,15 +158,16 @@
 		if errors.Is(err, platform.ErrRefused) {
 			return ch, Error.Wrap(fmt.Errorf("%w: %w", ErrUnavailable, err))
 		}
-		_ = l.CatchUp(ctx) // if it fails, so does the next try
-		ticker.Sleep(ctx, pause.NextBackOff())
+		_ = l.CatchUp(ctx) // if this fails, the next attempt fails too
+		ticker.Sleep(ctx, delay.NextBackOff())
 	}
 	return ch, Error.Wrap(ErrUnavailable)
 }
 
-// create tries to take the key of the next revision. After a lost answer it
-// reads back: the id tells whether the entry there is ours.
-func (l *Log) create(ctx context.Context, ch catalog.Change) (done bool, err error) {
+// create tries to create the key of the next revision. If the key exists or no answer
+// came, it reads the key, since the write may have succeeded: the ID tells whether the
+// stored entry is this change.
+func (l *Log) create(ctx context.Context, ch catalog.Change) (created bool, err error) {
 	value, err := cbor.Marshal(ch)
 	if err != nil {
 		return false, Error.Wrap(err)
@@ -177,20 +183,22 @@
 	if readErr != nil {
 		return false, err
 	}
-	var there catalog.Change
-	if err := cbor.Unmarshal(entry.Value, &there); err != nil {
+	var stored catalog.Change
+	if err := cbor.Unmarshal(entry.Value, &stored); err != nil {
 		return false, Error.Wrap(err)
 	}
-	return there.ID == ch.ID, nil
+	return stored.ID == ch.ID, nil
 }
 
-func (l *Log) accepted(ctx context.Context, ch catalog.Change) error {
+// applyAccepted applies a change of this process that was stored, and writes a snapshot
+// every revisionsPerSnapshot revisions.
+func (l *Log) applyAccepted(ctx context.Context, ch catalog.Change) error {
 	l.scope.Counter("config_accepted").Inc(1)
 	if err := l.Take(ch); err != nil {
 		return l.CatchUp(ctx)
 	}
-	l.loaded.Store(true) // what makes the next revision had all before it
-	if ch.Revision%snapshotEvery == 0 {
+	l.loaded.Store(true) // the next revision can only be created with all earlier ones applied
+	if ch.Revision%revisionsPerSnapshot == 0 {
 		if err := l.writeSnapshot(ctx); err != nil {
 			l.log.Warn().Err(err).Msg("snapshot not written; the log still holds every change")
 		}
@@ -198,7 +206,8 @@
 	return nil
 }
 
-func (l *Log) changedSince(base int64, ch catalog.Change) (catalog.Change, bool) {
+// conflictingChange returns a change of the same aggregate that is newer than base.
+func (l *Log) conflictingChange(base int64, ch catalog.Change) (catalog.Change, bool) {
 	for _, other := range l.History() {
 		if other.Revision > base && other.Noun == ch.Noun && other.Name == ch.Name && other.ID != ch.ID {
 			return other, true
@@ -207,7 +216,7 @@
 	return catalog.Change{}, false
 }
 
-// CatchUp reads everything newer from the platform.
+// CatchUp reads and applies all newer changes from the platform.
 func (l *Log) CatchUp(ctx context.Context) error {
 	if l.Current().Revision == 0 {
 		if err := l.readSnapshot(ctx); err != nil {
@@ -215,21 +224,21 @@
 		}
 	}
 	for {
-		entries, err := l.store.List(ctx, logPrefix, logKey(l.Current().Revision), listPage)
+		entries, err := l.store.List(ctx, logPrefix, logKey(l.Current().Revision), listPageSize)
 		if err != nil {
 			return Error.Wrap(err)
 		}
-		if err := l.takeEntries(entries); err != nil {
+		if err := l.applyEntries(entries); err != nil {
 			return err
 		}
-		if len(entries) < listPage {
+		if len(entries) < listPageSize {
 			l.loaded.Store(true)
 			return nil
 		}
 	}
 }
 
-func (l *Log) takeEntries(entries []platform.Entry) error {
+func (l *Log) applyEntries(entries []platform.Entry) error {
 	for _, e := range entries {
 		if e.Deleted {
 			continue
@@ -245,24 +254,24 @@
 	return nil
 }
 
-// Watch keeps this copy up to date from the platform until ctx ends. Only while
-// wanted returns true does it hold a watch, since the platform counts each.
+// Watch applies changes from the platform as they come until ctx ends. It keeps a watch
+// open only while wanted returns true, since the platform counts each watch.
 func (l *Log) Watch(ctx context.Context, wait time.Duration, wanted func() bool) {
 	index := int64(0)
 	for ctx.Err() == nil {
 		if !wanted() {
-			ticker.Sleep(ctx, retryPause)
+			ticker.Sleep(ctx, retryDelay)
 			continue
 		}
 		entries, next, err := l.store.Watch(ctx, logPrefix, index, wait)
 		if err != nil {
 			l.scope.Counter("config_watch_failed").Inc(1)
-			ticker.Sleep(ctx, retryPause)
+			ticker.Sleep(ctx, retryDelay)
 			continue
 		}
-		if l.takeEntries(entries) != nil {
+		if l.applyEntries(entries) != nil {
 			if l.CatchUp(ctx) != nil {
-				ticker.Sleep(ctx, retryPause)
+				ticker.Sleep(ctx, retryDelay)
 				continue
 			}
 		}
--- a/internal/changelog/log_test.go
+++ b/internal/changelog/log_test.go
@@ -19,13 +19,13 @@
 	standin "github.com/trailshed/trailshed/internal/standin/platform"
 )
 
-// rig is a platform with as many copies of the configuration as wanted.
-type rig struct {
+// fixture is a platform stand-in to which tests connect any number of logs.
+type fixture struct {
 	platform *standin.Platform
 	store    *platform.Store
 }
 
-func newRig(t testing.TB) *rig {
+func newFixture(t testing.TB) *fixture {
 	p := standin.New(5000, 5000, 0)
 	server := httptest.NewServer(p.Handler())
 	t.Cleanup(func() {
@@ -33,26 +33,26 @@
 		server.Close()
 	})
 	address := netip.MustParseAddrPort(server.Listener.Addr().String())
-	return &rig{platform: p, store: platform.Connect(address, time.Second, tally.NoopScope)}
+	return &fixture{platform: p, store: platform.Connect(address, time.Second, tally.NoopScope)}
 }
 
-func (r *rig) log() *changelog.Log { return changelog.New(r.store, tally.NoopScope, zerolog.Nop()) }
+func (f *fixture) log() *changelog.Log { return changelog.New(f.store, tally.NoopScope, zerolog.Nop()) }
 
 func zone(id, name string) catalog.Change {
 	return catalog.Change{ID: id, Who: id, Verb: catalog.VerbCreate, Noun: catalog.NounZone, Name: name}
 }
 
-// TestRacingOperators lets operators on different processes submit at once:
-// every command gets a revision of its own and every copy ends the same.
+// TestRacingOperators checks that commands submitted concurrently on different processes
+// each get their own revision, and that all copies end up equal.
 func TestRacingOperators(t *testing.T) {
 	c := qt.New(t)
-	r := newRig(t)
+	f := newFixture(t)
 	const operators, each = 4, 30
 	logs := make([]*changelog.Log, operators)
 	var group sync.WaitGroup
 	errs := make(chan error, operators*each)
 	for i := range logs {
-		logs[i] = r.log()
+		logs[i] = f.log()
 		group.Go(func() {
 			for n := range each {
 				id := fmt.Sprintf("op%d-%d", i, n)
@@ -66,19 +66,19 @@
 	for err := range errs {
 		c.Assert(err, qt.IsNil)
 	}
-	for _, l := range append(logs, r.log()) { // the last one starts from the snapshot
+	for _, l := range append(logs, f.log()) { // the last one starts from the snapshot
 		c.Assert(l.CatchUp(context.Background()), qt.IsNil)
 		c.Assert(l.Current().Revision, qt.Equals, int64(operators*each))
 		c.Assert(l.Current().Zones, qt.HasLen, operators*each)
 	}
 }
 
-// TestConflictingOperators says that the second of two commands decided on the
-// same state is told who changed it.
+// TestConflictingOperators checks that of two commands on one aggregate that are based on
+// the same revision, the second fails with the revision and operator of the first.
 func TestConflictingOperators(t *testing.T) {
 	c := qt.New(t)
-	r := newRig(t)
-	first, second := r.log(), r.log()
+	f := newFixture(t)
+	first, second := f.log(), f.log()
 	_, err := first.Submit(context.Background(), zone("a", "a"), 0)
 	c.Assert(err, qt.IsNil)
 	_, err = second.Submit(context.Background(), zone("b", "a"), 0)
@@ -100,28 +100,28 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			r := newRig(t)
-			l := r.log()
-			r.platform.SetFaults(test.faults)
+			f := newFixture(t)
+			l := f.log()
+			f.platform.SetFaults(test.faults)
 			_, err := l.Submit(context.Background(), zone("a", "a"), 0)
-			r.platform.SetFaults(standin.Faults{})
+			f.platform.SetFaults(standin.Faults{})
 			if !test.ok {
 				c.Assert(err, qt.ErrorIs, changelog.ErrUnavailable)
 			} else {
 				c.Assert(err, qt.IsNil)
 			}
-			fresh := r.log()
+			fresh := f.log()
 			c.Assert(fresh.CatchUp(context.Background()), qt.IsNil)
 			c.Assert(fresh.Current().Revision == 1, qt.Equals, test.ok)
 		})
 	}
 }
 
-// TestNeverReverts feeds a copy old and skipped revisions.
+// TestNeverReverts checks that old revisions and revisions after a gap change nothing.
 func TestNeverReverts(t *testing.T) {
 	c := qt.New(t)
-	r := newRig(t)
-	l := r.log()
+	f := newFixture(t)
+	l := f.log()
 	for _, n := range []string{"a", "b", "c"} {
 		_, err := l.Submit(context.Background(), zone(n, n), l.Current().Revision)
 		c.Assert(err, qt.IsNil)
@@ -136,18 +136,18 @@
 	c.Assert(l.Current().Revision, qt.Equals, int64(3))
 }
 
-// TestReadyOnlyWithTheWhole says that a copy is not ready while it has only the
-// first part of the configuration, and hands none of that on.
-func TestReadyOnlyWithTheWhole(t *testing.T) {
+// TestNotReadyWithPartialConfiguration checks that a copy with only the first part of the
+// configuration is not ready and sends none of it to peers.
+func TestNotReadyWithPartialConfiguration(t *testing.T) {
 	c := qt.New(t)
-	r := newRig(t)
-	writer := r.log()
+	f := newFixture(t)
+	writer := f.log()
 	for _, n := range []string{"a", "b", "c"} {
 		_, err := writer.Submit(context.Background(), zone(n, n), writer.Current().Revision)
 		c.Assert(err, qt.IsNil)
 	}
 	c.Assert(writer.CatchUp(context.Background()), qt.IsNil)
-	fresh, other := r.log(), r.log()
+	fresh, other := f.log(), f.log()
 	c.Assert(fresh.Take(writer.History()[0]), qt.IsNil)
 	c.Assert(fresh.Loaded(), qt.IsFalse)
 	c.Assert(other.TakeDelta(fresh.Delta(changelog.Pull{After: 0})), qt.IsNil)
@@ -159,26 +159,26 @@
 	c.Assert(other.Loaded(), qt.IsTrue)
 }
 
-// TestStartInAnOutage takes the configuration from a peer, change by change or
-// as a whole when the peer keeps no such old changes.
+// TestStartInAnOutage checks that during an outage of the platform a process loads the
+// configuration from a peer, as changes or, if the peer no longer keeps them, as rows.
 func TestStartInAnOutage(t *testing.T) {
 	c := qt.New(t)
-	r := newRig(t)
-	peer := r.log()
+	f := newFixture(t)
+	peer := f.log()
 	for n := range 5 {
 		id := fmt.Sprint(n)
 		_, err := peer.Submit(context.Background(), zone(id, id), peer.Current().Revision)
 		c.Assert(err, qt.IsNil)
 	}
-	r.platform.SetFaults(standin.Faults{Outage: true})
-	fresh := r.log()
+	f.platform.SetFaults(standin.Faults{Outage: true})
+	fresh := f.log()
 	c.Assert(fresh.CatchUp(context.Background()), qt.IsNotNil)
 	c.Assert(fresh.Loaded(), qt.IsFalse)
 	c.Assert(fresh.TakeDelta(peer.Delta(changelog.Pull{After: 0})), qt.IsNil)
 	c.Assert(fresh.Loaded(), qt.IsTrue)
 	c.Assert(fresh.Current().Revision, qt.Equals, int64(5))
 	whole := changelog.Delta{Revision: 5, Rows: peer.Current().Rows()}
-	other := r.log()
+	other := f.log()
 	c.Assert(other.TakeDelta(whole), qt.IsNil)
 	c.Assert(other.Current().Rows(), qt.DeepEquals, peer.Current().Rows())
 	c.Assert(other.Delta(changelog.Pull{After: 2}).Revision, qt.Equals, int64(5))
--- a/internal/changelog/pull.go
+++ b/internal/changelog/pull.go
@@ -2,20 +2,21 @@
 
 import "github.com/trailshed/trailshed/internal/catalog"
 
-// Pull asks a peer for what is newer than a revision.
+// Pull requests from a peer the changes after a revision.
 type Pull struct {
 	After int64 `cbor:"1,keyasint"`
 }
 
-// Delta answers a Pull: the changes that follow, or the whole when the peer no
-// longer keeps them all. It is empty from a peer that has not the whole itself.
+// Delta is the answer to a Pull: the changes after the revision, or all rows of the
+// configuration if the peer no longer keeps all of these changes. It is empty if the peer
+// itself has not loaded the complete configuration.
 type Delta struct {
 	Changes  []catalog.Change `cbor:"1,keyasint"`
-	Revision int64            `cbor:"2,keyasint"` // of Rows; 0 without
+	Revision int64            `cbor:"2,keyasint"` // of Rows; 0 if there are none
 	Rows     []catalog.Row    `cbor:"3,keyasint"`
 }
 
-// Delta returns what a peer at a revision lacks.
+// Delta returns the answer to a Pull.
 func (l *Log) Delta(p Pull) Delta {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -30,14 +31,14 @@
 	return Delta{Changes: append([]catalog.Change(nil), l.history[p.After+1-first:]...)}
 }
 
-// TakeDelta applies a peer's answer.
+// TakeDelta applies the Delta of a peer.
 func (l *Log) TakeDelta(d Delta) error {
 	if d.Revision > 0 {
 		c, err := catalog.FromRows(d.Revision, d.Rows)
 		if err != nil {
 			return Error.Wrap(err)
 		}
-		l.replace(c)
+		l.adopt(c)
 	}
 	if err := l.Take(d.Changes...); err != nil {
 		return err
--- a/internal/changelog/snapshot.go
+++ b/internal/changelog/snapshot.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	snapshotKey  = "config/snapshot"
-	snapshotRows = 2000 // in a part, to stay well under the platform's megabyte
+	snapshotKey = "config/snapshot"
+	maxPartRows = 2000 // keeps a part well below the platform's limit of 1 MB for a value
 )
 
-// snapshot is the value of snapshotKey; the rows lie in parts.
+// snapshot is the value of snapshotKey. The rows are stored in parts under their own keys.
 type snapshot struct {
 	Revision int64 `cbor:"1,keyasint"`
 	Parts    int   `cbor:"2,keyasint"`
@@ -26,14 +26,14 @@
 	return fmt.Sprintf("config/parts/%012d/%04d", revision, part)
 }
 
-// writeSnapshot stores the parts first, so that the head never names a part
-// that is missing.
+// writeSnapshot stores a snapshot of the current configuration. It writes the parts
+// before the head, so that the head never refers to a missing part.
 func (l *Log) writeSnapshot(ctx context.Context) error {
 	now := l.Current()
 	rows := now.Rows()
 	s := snapshot{Revision: now.Revision}
 	for len(rows) > 0 {
-		n := min(len(rows), snapshotRows)
+		n := min(len(rows), maxPartRows)
 		value, err := cbor.Marshal(rows[:n])
 		if err != nil {
 			return Error.Wrap(err)
@@ -45,21 +45,23 @@
 		rows = rows[n:]
 		s.Parts++
 	}
-	return l.swapSnapshot(ctx, s)
+	return l.replaceSnapshotHead(ctx, s)
 }
 
-func (l *Log) swapSnapshot(ctx context.Context, s snapshot) error {
+// replaceSnapshotHead replaces the head if s is newer and deletes the parts of the
+// previous snapshot.
+func (l *Log) replaceSnapshotHead(ctx context.Context, s snapshot) error {
 	old, err := l.store.Get(ctx, snapshotKey)
 	if err != nil && !errors.Is(err, platform.ErrMissing) {
 		return Error.Wrap(err)
 	}
-	var before snapshot
+	var previous snapshot
 	if err == nil {
-		if err := cbor.Unmarshal(old.Value, &before); err != nil {
+		if err := cbor.Unmarshal(old.Value, &previous); err != nil {
 			return Error.Wrap(err)
 		}
 	}
-	if before.Revision >= s.Revision {
+	if previous.Revision >= s.Revision {
 		return nil
 	}
 	value, err := cbor.Marshal(s)
@@ -69,7 +71,7 @@
 	if _, err := l.store.Put(ctx, snapshotKey, value, old.Version); err != nil {
 		return Error.Wrap(err)
 	}
-	return l.deleteParts(ctx, before)
+	return l.deleteParts(ctx, previous)
 }
 
 func (l *Log) deleteParts(ctx context.Context, s snapshot) error {
@@ -85,7 +87,7 @@
 	return nil
 }
 
-// readSnapshot takes the stored snapshot, if there is one.
+// readSnapshot adopts the stored snapshot, if there is one.
 func (l *Log) readSnapshot(ctx context.Context) error {
 	e, err := l.store.Get(ctx, snapshotKey)
 	if errors.Is(err, platform.ErrMissing) {
@@ -114,6 +116,6 @@
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	l.replace(c)
+	l.adopt(c)
 	return nil
 }
