--- a/internal/operator/rows.go
+++ b/internal/operator/rows.go
@@ -119,12 +119,12 @@
 		case s.Ejected:
 			state = "ejected"
 		}
-		heard := "never"
+		lastReport := "never"
 		if s.Heard > 0 {
-			heard = now.Sub(s.Heard).String()
+			lastReport = now.Sub(s.Heard).String()
 		}
 		t.Add(s.Name, name.String(), s.Role, state, strconv.Itoa(s.Used), strconv.Itoa(s.Slots),
-			strconv.Itoa(s.Pending), strconv.Itoa(s.Strange), strconv.Itoa(s.Reported), heard)
+			strconv.Itoa(s.Pending), strconv.Itoa(s.Strange), strconv.Itoa(s.Reported), lastReport)
 	}
 }
 
