--- a/internal/experiment/events.go
+++ b/internal/experiment/events.go
@@ -7,13 +7,14 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// event is something that happens at a moment.
+// event is an action scheduled for a moment of emulated time.
 type event struct {
 	at  clock.Millis
-	seq int // events of one moment happen in the order in which they were made
+	seq int // orders events of the same moment by when they were scheduled
 	do  func()
 }
 
+// events is a heap of scheduled events, the earliest first.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -29,14 +30,17 @@
 	return last
 }
 
-func (w *world) after(d time.Duration, do func()) {
-	w.made++
-	heap.Push(&w.events, event{at: w.now.Add(max(d, time.Millisecond)), seq: w.made, do: do})
+// after schedules an action. The delay is at least a millisecond, the resolution of
+// emulated time.
+func (s *simulation) after(d time.Duration, do func()) {
+	s.scheduled++
+	heap.Push(&s.events, event{at: s.now.Add(max(d, time.Millisecond)), seq: s.scheduled, do: do})
 }
 
-func (w *world) every(d time.Duration, do func()) {
-	w.after(d, func() {
+// every schedules an action periodically; the first run is after one interval.
+func (s *simulation) every(d time.Duration, do func()) {
+	s.after(d, func() {
 		do()
-		w.every(d, do)
+		s.every(d, do)
 	})
 }
--- a/internal/experiment/result.go
+++ b/internal/experiment/result.go
@@ -13,8 +13,8 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Result is all runs of a plan, in the order of its policies and seeds. Written
-// to a file it can be compared with that of another commit.
+// Result holds the outcomes of all runs of a plan, ordered by policy, then by seed. It
+// can be written to a file and compared with the result of another version.
 type Result struct {
 	Plan     string     `json:"plan"`
 	Version  string     `json:"version"` // of trailshed
@@ -23,8 +23,8 @@
 	Runs     []*Outcome `json:"runs"`
 }
 
-// Play makes all runs, several at a time; what comes of them does not depend on
-// how many.
+// Play runs the plan with each policy and seed, jobs runs at a time. The result does not
+// depend on jobs.
 func (p *Plan) Play(version string, jobs int) *Result {
 	r := &Result{Plan: p.Name, Version: version, Policies: p.Policies, Seeds: p.Seeds}
 	r.Runs = make([]*Outcome, len(p.Policies)*len(p.Seeds))
@@ -67,8 +67,8 @@
 	return Error.Wrap(os.WriteFile(file, append(data, '\n'), 0o600))
 }
 
-// of returns a policy's runs by seed.
-func (r *Result) of(policy string) map[uint64]*Outcome {
+// runsOf returns a policy's runs by seed.
+func (r *Result) runsOf(policy string) map[uint64]*Outcome {
 	runs := map[uint64]*Outcome{}
 	for _, o := range r.Runs {
 		if o.Policy == policy {
@@ -78,86 +78,87 @@
 	return runs
 }
 
-// Difference is the mean of paired differences of the share in time.
+// Difference is the mean of the paired differences in the ratio of requests in time.
 type Difference struct {
-	Mean  float64
-	Half  float64 // of the interval that holds the mean in 95 of 100 cases; NaN for one pair
-	Pairs int
+	Mean      float64
+	HalfWidth float64 // half the width of the 95 % confidence interval; NaN with fewer than two pairs
+	Pairs     int
 }
 
-// confidence of a Difference's interval.
+// confidence is the level of a Difference's confidence interval.
 const confidence = 0.95
 
-// Pair compares runs of the same seed: what the share in time is more in b.
+// Pair compares the runs of the same seeds: by how much the ratio in time is higher in b
+// than in a.
 func Pair(a, b map[uint64]*Outcome) Difference {
-	var more []float64
+	var differences []float64
 	for _, seed := range sortedKeys(a) {
 		if other, ok := b[seed]; ok {
-			more = append(more, other.Share()-a[seed].Share())
+			differences = append(differences, other.InTimeRatio()-a[seed].InTimeRatio())
 		}
 	}
-	if len(more) == 0 {
-		return Difference{Half: math.NaN()}
+	if len(differences) == 0 {
+		return Difference{HalfWidth: math.NaN()}
 	}
-	mean, deviation := stat.MeanStdDev(more, nil)
-	d := Difference{Mean: mean, Half: math.NaN(), Pairs: len(more)}
-	if len(more) > 1 {
-		t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(more) - 1)}
-		d.Half = t.Quantile((1+confidence)/2) * stat.StdErr(deviation, float64(len(more)))
+	mean, deviation := stat.MeanStdDev(differences, nil)
+	d := Difference{Mean: mean, HalfWidth: math.NaN(), Pairs: len(differences)}
+	if len(differences) > 1 {
+		t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(differences) - 1)}
+		d.HalfWidth = t.Quantile((1+confidence)/2) * stat.StdErr(deviation, float64(len(differences)))
 	}
 	return d
 }
 
-// String is the difference in points of a hundred.
+// String formats the difference in percentage points.
 func (d Difference) String() string {
 	switch {
 	case d.Pairs == 0:
 		return "no pairs"
-	case math.IsNaN(d.Half):
+	case math.IsNaN(d.HalfWidth):
 		return fmt.Sprintf("%+.2f", 100*d.Mean)
 	default:
-		return fmt.Sprintf("%+.2f ± %.2f", 100*d.Mean, 100*d.Half)
+		return fmt.Sprintf("%+.2f ± %.2f", 100*d.Mean, 100*d.HalfWidth)
 	}
 }
 
-// Print writes tables: the means of each policy, then the paired differences
-// from the first policy and, if there is one, from an earlier result.
+// Print writes a table with the means of each policy and the paired differences from the
+// first policy. If earlier is not nil, a second table compares each policy with it.
 func (r *Result) Print(out io.Writer, earlier *Result) error {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	row := func(format string, args ...any) { _, _ = fmt.Fprintf(t, format+"\t\n", args...) } // Flush tells errors
-	row("%s\tin time %%\tlate %%\trefused %%\tfailed %%\tread for nothing %%\tfirst p50 ms\tp99 ms\tthan %s", r.Plan, r.Policies[0])
-	first := r.of(r.Policies[0])
+	row := func(format string, args ...any) { _, _ = fmt.Fprintf(t, format+"\t\n", args...) } // Flush returns the errors
+	row("%s\tin time %%\tlate %%\trefused %%\tfailed %%\twasted prefill %%\tfirst token p50 ms\tp99 ms\tdifference from %s", r.Plan, r.Policies[0])
+	first := r.runsOf(r.Policies[0])
 	for i, policy := range r.Policies {
-		runs := r.of(policy)
+		runs := r.runsOf(policy)
 		difference := ""
 		if i > 0 {
 			difference = Pair(first, runs).String()
 		}
 		row("%s\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.0f\t%.0f\t%s", policy,
-			100*mean(runs, (*Outcome).Share),
-			100*mean(runs, func(o *Outcome) float64 { return part(o.Late, o.Asked) }),
-			100*mean(runs, func(o *Outcome) float64 { return part(o.Refused, o.Asked) }),
-			100*mean(runs, func(o *Outcome) float64 { return part(o.Failed+o.Unended, o.Asked) }),
-			100*mean(runs, (*Outcome).Waste),
-			mean(runs, func(o *Outcome) float64 { return float64(o.FirstP50) }),
-			mean(runs, func(o *Outcome) float64 { return float64(o.FirstP99) }),
+			100*mean(runs, (*Outcome).InTimeRatio),
+			100*mean(runs, func(o *Outcome) float64 { return ratio(o.Late, o.Requests) }),
+			100*mean(runs, func(o *Outcome) float64 { return ratio(o.Refused, o.Requests) }),
+			100*mean(runs, func(o *Outcome) float64 { return ratio(o.Failed+o.Unfinished, o.Requests) }),
+			100*mean(runs, (*Outcome).WasteRatio),
+			mean(runs, func(o *Outcome) float64 { return float64(o.FirstTokenP50) }),
+			mean(runs, func(o *Outcome) float64 { return float64(o.FirstTokenP99) }),
 			difference)
 	}
 	if earlier != nil {
 		row("")
-		row("in time %%\t%s\t%s\tmore", earlier.Version, r.Version)
+		row("in time %%\t%s\t%s\tdifference", earlier.Version, r.Version)
 		for _, policy := range r.Policies {
-			before, now := earlier.of(policy), r.of(policy)
-			row("%s\t%.2f\t%.2f\t%s", policy, 100*mean(before, (*Outcome).Share), 100*mean(now, (*Outcome).Share), Pair(before, now))
+			before, now := earlier.runsOf(policy), r.runsOf(policy)
+			row("%s\t%.2f\t%.2f\t%s", policy, 100*mean(before, (*Outcome).InTimeRatio), 100*mean(now, (*Outcome).InTimeRatio), Pair(before, now))
 		}
 	}
 	return Error.Wrap(t.Flush())
 }
 
-func mean(runs map[uint64]*Outcome, of func(*Outcome) float64) float64 {
-	var all []float64
+func mean(runs map[uint64]*Outcome, value func(*Outcome) float64) float64 {
+	var values []float64
 	for _, seed := range sortedKeys(runs) {
-		all = append(all, of(runs[seed]))
+		values = append(values, value(runs[seed]))
 	}
-	return stat.Mean(all, nil)
+	return stat.Mean(values, nil)
 }
