--- a/internal/soak/checker/checker.go
+++ b/internal/soak/checker/checker.go
@@ -1,10 +1,20 @@
-// Package checker judges what callers and endpoints saw against the promises:
-// nothing runs twice, "not run" is true, answers are whole and their own,
-// requests run in their own workspace's name and within its limit and stay in their
-// region, streams have no gap and no double, work for callers that left stops, leaving
-// endpoints and evacuated zones get nothing new, cold endpoints little, configuration
-// comes into force and never goes back, planned stops cut nothing, and retries stay
-// within their budget. Bounds on time are demanded only of what no fault touched.
+// Package checker checks what callers and endpoints observed against the promises:
+//
+//   - a request that must not be repeated runs at most once, and one that was answered as
+//     not run did not run;
+//   - answers are complete and belong to their request, streams have no missing and no
+//     repeated event;
+//   - requests arrive unchanged, run under their own workspace, within its limit, and stay
+//     in its region;
+//   - work for callers that disconnected stops;
+//   - leaving endpoints and evacuated zones get no new requests, cold endpoints few, and
+//     endpoints that back off or name a limit no more than they accept;
+//   - requests that crash endpoints stop being sent;
+//   - configurations come into force and are never reverted;
+//   - planned stops interrupt no answer;
+//   - retries stay within their budget.
+//
+// Time bounds are checked only where no fault interfered.
 package checker
 
 import (
@@ -20,35 +30,35 @@
 	"github.com/trailshed/trailshed/platform/standin"
 )
 
-// Bounds are the times and amounts that the promises name.
+// Bounds are the limits on times and amounts that the promises state.
 type Bounds struct {
-	Contact time.Duration // what must have been calm before a bound on time holds
-	Drain   time.Duration // from an endpoint's announcement that it leaves
-	Config  time.Duration // from a configuration's acknowledgement
-	Outer   time.Duration // longer for instances that the store refuses
-	Gone    time.Duration // from a caller's leaving to the end of its work
-	Slack   time.Duration // of all bounds, for a busy machine
-	Ratio   float64       // extra sends for each request
-	Extra   float64       // extra sends besides
-	Window  time.Duration
+	Contact time.Duration // without faults before a time bound applies
+	Drain   time.Duration // from a change of an endpoint or a zone until all instances act on it
+	Config  time.Duration // from a configuration's acknowledgement until it is in force
+	Outer   time.Duration // added while the store fails some instances, which then learn of changes from peers
+	Gone    time.Duration // from a caller's disconnect to the end of the work for it
+	Slack   time.Duration // added to all time bounds, for a busy machine
+	Ratio   float64       // retries allowed per request
+	Extra   float64       // retries allowed in addition, per window
+	Window  time.Duration // over which retries are counted
 	// The limit of one workspace over all instances, in requests that ran.
 	LimitRate, LimitBurst, LimitSlack float64
 	LimitWindow                       time.Duration
 
-	ColdRate float64 // requests a second that a cold endpoint takes
+	ColdRate float64 // requests a second that a cold endpoint accepts
 
-	Timed bool // whether bounds on time are checked at all
+	Timed bool // whether time bounds are checked at all
 }
 
-// Violation is one broken promise.
+// Violation is a promise that was not kept.
 type Violation struct {
 	Promise string
-	ID      string // of the request
+	ID      string // of the request, or whatever else the promise concerns
 	What    string
 	At      time.Time
 }
 
-// Run is what one endpoint saw of one request.
+// Run is one request as an endpoint received it.
 type Run struct {
 	standin.Arrival
 	Endpoint string
@@ -56,72 +66,73 @@
 	Zone     string
 }
 
-// Checker collects and judges. It is safe for concurrent use.
+// Checker collects observations and checks them. It is safe for concurrent use.
 type Checker struct {
 	Bounds   Bounds
 	Faults   *timeline.Timeline
 	Arrivals func() []Run
 
-	mu        sync.Mutex
-	calls     map[string]caller.Call
-	leaving   map[string]time.Time // endpoint: when its announcement was acknowledged
-	versions  map[int]time.Time    // configuration: when it was acknowledged
-	evacuated []*change            // zones
-	cold      []*change            // endpoints
-	violation map[string]Violation
+	mu         sync.Mutex
+	calls      map[string]caller.Call
+	leaving    map[string]time.Time // by endpoint: when the store acknowledged that it leaves
+	versions   map[int]time.Time    // by configuration version: when the store acknowledged it
+	evacuated  []*storeChange       // of zones
+	cold       []*storeChange       // of endpoints
+	violations map[string]Violation // by promise and ID
 }
 
-// New returns a checker that knows of nothing.
+// New returns a checker without observations.
 func New(b Bounds, faults *timeline.Timeline, arrivals func() []Run) *Checker {
 	return &Checker{
 		Bounds: b, Faults: faults, Arrivals: arrivals,
 		calls: map[string]caller.Call{}, leaving: map[string]time.Time{}, versions: map[int]time.Time{},
-		violation: map[string]Violation{},
+		violations: map[string]Violation{},
 	}
 }
 
-// Called takes a call that has ended.
+// Called records a call that has ended.
 func (c *Checker) Called(call caller.Call) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.calls[call.ID] = call
 }
 
-// Leaves notes that the store has an endpoint's announcement that it leaves.
+// Leaves records that the store has acknowledged an endpoint's announcement that it is
+// leaving.
 func (c *Checker) Leaves(endpoint string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.leaving[endpoint] = time.Now()
 }
 
-// Configured notes that the store has a configuration.
+// Configured records that the store has acknowledged a configuration.
 func (c *Checker) Configured(version int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.versions[version] = time.Now()
 }
 
-// Ended takes that a process ended in another way than it was told to.
-func (c *Checker) Ended(instance string, life int, how error) {
+// Ended records that a process exited without a signal to do so, or failed after SIGTERM.
+func (c *Checker) Ended(instance string, number int, cause error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.broken("lives on", fmt.Sprintf("%s life %d", instance, life), time.Now(), "it ended: %v", how)
+	c.violated("lives on", fmt.Sprintf("%s incarnation %d", instance, number), time.Now(), "process exited unexpectedly: %v", cause)
 }
 
-// Outlived takes that a process still runs long after it was told to stop. One
-// that was struck meanwhile, as by a pause, may.
-func (c *Checker) Outlived(instance string, life int, told time.Time) {
+// Outlived records that a process still runs long after SIGTERM. That is no violation if
+// a fault, such as a pause, affected the process in the meantime.
+func (c *Checker) Outlived(instance string, number int, signalled time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	if !c.Bounds.Timed || !c.Faults.Calm(told, now, instance, timeline.Process) {
+	if !c.Bounds.Timed || !c.Faults.Calm(signalled, now, instance, timeline.Process) {
 		return
 	}
-	c.broken("planned stop", fmt.Sprintf("%s life %d", instance, life), now, "it still runs %s after SIGTERM", now.Sub(told).Round(time.Millisecond))
+	c.violated("planned stop", fmt.Sprintf("%s incarnation %d", instance, number), now, "process still running %s after SIGTERM", now.Sub(signalled).Round(time.Millisecond))
 }
 
-// Served counts the calls that were answered well, and all but those that were over
-// their workspace's limit.
+// Served returns how many calls succeeded, and how many there were except those rejected
+// because their workspace was over its limit.
 func (c *Checker) Served() (good, all int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -137,8 +148,9 @@
 	return good, all
 }
 
-// Check judges everything known and returns all violations so far, the oldest
-// first. The last check also finds requests that nobody sent.
+// Check checks all observations and returns all violations so far, the oldest first. Only
+// the last check finds requests that no caller sent, since before that a caller may still
+// be waiting for the answer.
 func (c *Checker) Check(last bool) []Violation {
 	runs := c.Arrivals()
 	c.mu.Lock()
@@ -151,34 +163,36 @@
 		c.checkCall(call, byCall[id])
 	}
 	for id, list := range byCall {
-		if _, sent := c.calls[id]; last && !sent {
-			c.broken("unasked", id, list[0].At, "%s saw a request that nobody sent", list[0].Endpoint)
+		if _, known := c.calls[id]; last && !known {
+			c.violated("unasked", id, list[0].At, "%s received a request that no caller sent", list[0].Endpoint)
 		}
 	}
 	c.checkVersions()
-	c.checkLimit(byCall)
+	c.checkWorkspaceLimit(byCall)
 	if c.Bounds.Timed {
 		c.checkPoison(runs)
-		c.checkWords(runs)
-		c.checkLimits(runs)
+		c.checkNotices(runs)
+		c.checkEndpointLimits(runs)
 		c.checkCold(runs)
 		c.checkBudget(runs, last)
 	}
 	var list []Violation
-	for _, v := range c.violation {
+	for _, v := range c.violations {
 		list = append(list, v)
 	}
 	slices.SortFunc(list, func(a, b Violation) int { return a.At.Compare(b.At) })
 	return list
 }
 
-func (c *Checker) broken(promise, id string, at time.Time, format string, args ...any) {
+// violated records a violation; only the first of each promise and ID counts.
+func (c *Checker) violated(promise, id string, at time.Time, format string, args ...any) {
 	key := promise + " " + id
-	if _, known := c.violation[key]; !known {
-		c.violation[key] = Violation{Promise: promise, ID: id, What: fmt.Sprintf(format, args...), At: at}
+	if _, known := c.violations[key]; !known {
+		c.violations[key] = Violation{Promise: promise, ID: id, What: fmt.Sprintf(format, args...), At: at}
 	}
 }
 
+// checkCall checks one call and what endpoints received of it.
 func (c *Checker) checkCall(call caller.Call, runs []Run) {
 	c.checkRuns(call, runs)
 	if !call.Left {
@@ -187,35 +201,35 @@
 	if !c.Bounds.Timed {
 		return
 	}
-	c.checkStop(call, runs)
+	c.checkPlannedStop(call, runs)
 	for _, r := range runs {
 		c.checkLeaving(call, r)
 		c.checkEvacuated(call, r)
 		if call.Left {
-			c.checkGone(call, r)
+			c.checkAbandoned(call, r)
 		}
 	}
-	// Whatever endpoints do, an instance must answer once the time is over.
+	// Whatever endpoints do, an instance must answer once the request's deadline has passed.
 	if call.Hung() && c.Faults.Calm(call.Sent, call.Ended, call.Gateway.Name, timeline.Process, timeline.Planned) {
-		c.broken("answered", call.ID, call.Ended, "no answer from %s long after the time was over", call.Gateway.Name)
+		c.violated("answered", call.ID, call.Ended, "no answer from %s long after the deadline", call.Gateway.Name)
 	}
 }
 
-// checkRuns judges what endpoints saw of a call.
+// checkRuns checks what endpoints received of a call.
 func (c *Checker) checkRuns(call caller.Call, runs []Run) {
 	ran := 0
 	for _, r := range runs {
 		if r.Method != call.Kind.Method || r.Target != call.Kind.Path || r.Body != call.Body {
-			c.broken("unchanged", call.ID, r.At, "%s saw %s %s with a body of %d bytes", r.Endpoint, r.Method, r.Target, len(r.Body))
+			c.violated("unchanged", call.ID, r.At, "%s received %s %s with a body of %d bytes", r.Endpoint, r.Method, r.Target, len(r.Body))
 		}
 		if r.Workspace != call.Kind.Workspace || r.Key {
-			c.broken("own workspace", call.ID, r.At, "%s saw it in the name of %q, with a key: %t", r.Endpoint, r.Workspace, r.Key)
+			c.violated("own workspace", call.ID, r.At, "%s received it for workspace %q, with a key: %t", r.Endpoint, r.Workspace, r.Key)
 		}
 		if r.Service != call.Kind.Service && r.Ran {
-			c.broken("own service", call.ID, r.At, "ran at %s of %s", r.Endpoint, r.Service)
+			c.violated("own service", call.ID, r.At, "ran at %s of service %s", r.Endpoint, r.Service)
 		}
 		if home := call.Kind.Home; home != "" && r.Zone != home && r.Service == call.Kind.Service {
-			c.broken("home region", call.ID, r.At, "%s in %s saw it", r.Endpoint, r.Zone)
+			c.violated("home region", call.ID, r.At, "%s in zone %s received it", r.Endpoint, r.Zone)
 		}
 		if r.Ran && !r.Prefill {
 			ran++
@@ -225,15 +239,16 @@
 		return
 	}
 	if ran > 1 {
-		c.broken("at most once", call.ID, call.Sent, "ran %d times", ran)
+		c.violated("at most once", call.ID, call.Sent, "ran %d times", ran)
 	}
-	if ran > 0 && notRun(call.Reply.Status) {
-		c.broken("true refusal", call.ID, call.Ended, "%s answered %d, yet it ran", call.Gateway.Name, call.Reply.Status)
+	if ran > 0 && promisesNotRun(call.Reply.Status) {
+		c.violated("true refusal", call.ID, call.Ended, "%s answered %d, but it ran", call.Gateway.Name, call.Reply.Status)
 	}
 }
 
-// checkLimit judges what ran for the workspace that sends more than it may.
-func (c *Checker) checkLimit(byCall map[string][]Run) {
+// checkWorkspaceLimit checks how many requests ran for the workspace that sends more than
+// its limit allows.
+func (c *Checker) checkWorkspaceLimit(byCall map[string][]Run) {
 	var times []time.Time
 	for id, runs := range byCall {
 		if c.calls[id].Kind.Workspace != caller.Limited {
@@ -242,24 +257,24 @@
 		for _, r := range runs {
 			if r.Ran {
 				times = append(times, r.At)
-				break // its runs again are not requests of the workspace
+				break // retries do not count against the limit
 			}
 		}
 	}
 	allowed := c.Bounds.LimitRate*c.Bounds.LimitWindow.Seconds() + c.Bounds.LimitBurst + c.Bounds.LimitSlack
 	for _, t := range times {
-		if n := within(times, t.Add(-c.Bounds.LimitWindow), t); float64(n) > allowed {
-			c.broken("limit of a workspace", caller.Limited, t, "%d requests ran in %s, allowed %.0f", n, c.Bounds.LimitWindow, allowed)
+		if n := countWithin(times, t.Add(-c.Bounds.LimitWindow), t); float64(n) > allowed {
+			c.violated("limit of a workspace", caller.Limited, t, "%d requests ran within %s, allowed %.0f", n, c.Bounds.LimitWindow, allowed)
 		}
 	}
 }
 
-// notRun says whether a status promises that a request has not run.
-func notRun(status int) bool {
+// promisesNotRun reports whether a status promises that the request did not run.
+func promisesNotRun(status int) bool {
 	return status == 503 || status == 429 || status == 408 || status == 421
 }
 
-// checkReply judges the bytes that a caller got.
+// checkReply checks the status and the body that a caller received.
 func (c *Checker) checkReply(call caller.Call) {
 	r := call.Reply
 	switch {
@@ -270,44 +285,47 @@
 		}
 		switch {
 		case !r.Signed:
-			c.broken("own answer", call.ID, call.Ended, "a success without an endpoint's signature")
+			c.violated("own answer", call.ID, call.Ended, "success status without an endpoint's signature")
 		case r.Err == nil && r.Body != want:
-			c.broken("whole answer", call.ID, call.Ended, "got %q", r.Body)
+			c.violated("whole answer", call.ID, call.Ended, "received %q", r.Body)
 		case !strings.HasPrefix(want, r.Body):
-			c.broken("unmixed answer", call.ID, call.Ended, "got %q before it broke off", r.Body)
+			c.violated("unmixed answer", call.ID, call.Ended, "received %q before the connection broke", r.Body)
 		}
 	case r.Status == 401 || r.Status == 403 || r.Status == 404 && call.Kind.Version == 0:
-		c.broken("allowed", call.ID, call.Ended, "%s answered %d to what every configuration allows", call.Gateway.Name, r.Status)
+		c.violated("allowed", call.ID, call.Ended, "%s answered %d to a request that every configuration allows", call.Gateway.Name, r.Status)
 	}
 }
 
-// calm says whether nothing disturbed a call's instance and the endpoints.
-func (c *Checker) calm(call caller.Call, from, to time.Time) bool {
+// callUndisturbed reports whether no fault affected a call's instance or any endpoint.
+func (c *Checker) callUndisturbed(call caller.Call, from, to time.Time) bool {
 	return c.Faults.Calm(from, to, call.Gateway.Name, timeline.Process) &&
 		c.Faults.Calm(from, to, "", timeline.Endpoint)
 }
 
-// checkStop judges an answer that broke off while its instance stopped in order.
-func (c *Checker) checkStop(call caller.Call, runs []Run) {
-	cut := call.Reply.Err != nil && !call.Left && !call.Hung() && (len(runs) > 0 || call.Reply.Status != 0)
-	if !cut || !c.calm(call, call.Sent, call.Ended) || c.Faults.Calm(call.Sent, call.Ended, call.Gateway.Name, timeline.Planned) {
+// checkPlannedStop checks for an answer that was interrupted during a planned stop of its
+// instance, with no other fault that explains it.
+func (c *Checker) checkPlannedStop(call caller.Call, runs []Run) {
+	interrupted := call.Reply.Err != nil && !call.Left && !call.Hung() && (len(runs) > 0 || call.Reply.Status != 0)
+	if !interrupted || !c.callUndisturbed(call, call.Sent, call.Ended) || c.Faults.Calm(call.Sent, call.Ended, call.Gateway.Name, timeline.Planned) {
 		return
 	}
-	c.broken("planned stop", call.ID, call.Ended, "%s cut it: %v", call.Gateway.Name, call.Reply.Err)
+	c.violated("planned stop", call.ID, call.Ended, "%s interrupted it: %v", call.Gateway.Name, call.Reply.Err)
 }
 
-// checkLeaving judges a request at an endpoint that leaves.
+// checkLeaving checks for a request at an endpoint that had announced in the store that it
+// is leaving.
 func (c *Checker) checkLeaving(call caller.Call, r Run) {
-	acknowledged, leaves := c.leaving[r.Endpoint]
-	if leaves && c.mustKnow(call, r, acknowledged) {
-		c.broken("leaving endpoint", call.ID, r.At, "%s sent it to %s %s after that said it leaves",
+	acknowledged, leaving := c.leaving[r.Endpoint]
+	if leaving && c.mustKnow(call, r, acknowledged) {
+		c.violated("leaving endpoint", call.ID, r.At, "%s sent it to %s %s after that announced that it is leaving",
 			call.Gateway.Name, r.Endpoint, r.At.Sub(acknowledged).Round(time.Millisecond))
 	}
 }
 
-// informed says whether an instance could know of a change by now. One that
-// only the store refuses hears of it from its peers, within a longer bound.
-func (c *Checker) informed(call caller.Call, changed, now time.Time, bound *time.Duration) bool {
+// canKnow reports whether faults allowed an instance to learn of a change by now. If the
+// store failed some instances, the change may have had to come from peers, which extends
+// bound.
+func (c *Checker) canKnow(call caller.Call, changed, now time.Time, bound *time.Duration) bool {
 	from := changed.Add(-c.Bounds.Contact)
 	if !c.Faults.Calm(from, now, call.Gateway.Name, timeline.Process, timeline.Planned, timeline.Peers) ||
 		!c.Faults.Calm(from, now, "", timeline.Store) {
@@ -319,86 +337,89 @@
 	return true
 }
 
-// checkGone judges work for a caller that left.
-func (c *Checker) checkGone(call caller.Call, r Run) {
-	over := call.Ended.Add(c.Bounds.Gone + c.Bounds.Slack)
+// checkAbandoned checks for work that continued after its caller had disconnected.
+func (c *Checker) checkAbandoned(call caller.Call, r Run) {
+	deadline := call.Ended.Add(c.Bounds.Gone + c.Bounds.Slack)
 	ended := r.Ended
 	if ended.IsZero() {
 		ended = time.Now()
 	}
-	if ended.After(over) && c.undisturbed(call, r, ended) {
-		c.broken("caller gone", call.ID, over, "%s still works on it %s after its caller left", r.Endpoint, ended.Sub(call.Ended).Round(time.Millisecond))
+	if ended.After(deadline) && c.runUndisturbed(call, r, ended) {
+		c.violated("caller gone", call.ID, deadline, "%s still worked on it %s after its caller disconnected", r.Endpoint, ended.Sub(call.Ended).Round(time.Millisecond))
 	}
 }
 
-func (c *Checker) undisturbed(call caller.Call, r Run, to time.Time) bool {
+// runUndisturbed reports whether no fault affected the instance or the endpoint of a run.
+func (c *Checker) runUndisturbed(call caller.Call, r Run, to time.Time) bool {
 	from := call.Sent.Add(-c.Bounds.Contact)
 	return c.Faults.Calm(from, to, call.Gateway.Name, timeline.Process, timeline.Planned) &&
 		c.Faults.Calm(from, to, r.Endpoint, timeline.Endpoint)
 }
 
-// life is one process of an instance.
-type life struct {
+// incarnation is one process of an instance, from its start to its exit.
+type incarnation struct {
 	name string
 	n    int
 }
 
-func lifeOf(call caller.Call) life { return life{call.Gateway.Name, call.Gateway.Life} }
+func incarnationOf(call caller.Call) incarnation {
+	return incarnation{call.Gateway.Name, call.Gateway.Life}
+}
 
-// checkVersions judges in which order instances followed configurations.
+// checkVersions checks that no process of an instance returns to an earlier configuration.
 func (c *Checker) checkVersions() {
-	seen := map[life]map[int]time.Time{} // version: when an answer first showed it
+	seen := map[incarnation]map[int]time.Time{} // by version: the end of the first call answered with it
 	for _, call := range c.calls {
 		if call.Kind.Version == 0 || call.Reply.Err != nil || call.Reply.Status != 200 {
 			continue
 		}
-		l := lifeOf(call)
-		if seen[l] == nil {
-			seen[l] = map[int]time.Time{}
+		inc := incarnationOf(call)
+		if seen[inc] == nil {
+			seen[inc] = map[int]time.Time{}
 		}
-		if at, ok := seen[l][call.Kind.Version]; !ok || call.Ended.Before(at) {
-			seen[l][call.Kind.Version] = call.Ended
+		if at, ok := seen[inc][call.Kind.Version]; !ok || call.Ended.Before(at) {
+			seen[inc][call.Kind.Version] = call.Ended
 		}
 	}
 	for _, call := range c.calls {
 		if call.Kind.Version == 0 || call.Reply.Err != nil || call.Reply.Status != 404 {
 			continue
 		}
-		for version, at := range seen[lifeOf(call)] {
+		for version, at := range seen[incarnationOf(call)] {
 			if version >= call.Kind.Version && call.Sent.After(at) {
-				c.broken("never back", call.ID, call.Ended, "%s knew version %d and not version %d later", call.Gateway.Name, version, call.Kind.Version)
+				c.violated("never back", call.ID, call.Ended, "%s served version %d, and later did not know version %d", call.Gateway.Name, version, call.Kind.Version)
 			}
 		}
 		c.checkInForce(call)
 	}
 }
 
-// checkInForce judges an instance that did not know a version.
+// checkInForce checks whether an instance that did not know a version should have.
 func (c *Checker) checkInForce(call caller.Call) {
 	acknowledged, ok := c.versions[call.Kind.Version]
 	bound := c.Bounds.Config + c.Bounds.Slack
-	if !ok || !c.Bounds.Timed || !c.informed(call, acknowledged, call.Ended, &bound) {
+	if !ok || !c.Bounds.Timed || !c.canKnow(call, acknowledged, call.Ended, &bound) {
 		return
 	}
 	if late := call.Sent.Sub(acknowledged); late > bound {
-		c.broken("configuration", call.ID, call.Ended, "%s does not know version %d after %s", call.Gateway.Name, call.Kind.Version, late.Round(time.Millisecond))
+		c.violated("configuration", call.ID, call.Ended, "%s does not know version %d after %s", call.Gateway.Name, call.Kind.Version, late.Round(time.Millisecond))
 	}
 }
 
-// callMost is longer than any call lasts.
-const callMost = 6 * time.Second
+// maxCallTime is longer than any call lasts.
+const maxCallTime = 6 * time.Second
 
-// checkBudget judges the arrivals beyond the first of each request. Before the
-// last check it leaves the newest out: requests are known only once they have
-// ended, and those under way earn their part as well.
+// checkBudget checks the number of retries: the arrivals beyond the first of each request.
+// Before the last check it excludes the newest arrivals, because calls are known only once
+// they have ended, and those in progress count towards the budget as well.
 func (c *Checker) checkBudget(runs []Run, last bool) {
 	if !last {
-		known := time.Now().Add(-callMost)
+		known := time.Now().Add(-maxCallTime)
 		runs = slices.DeleteFunc(runs, func(r Run) bool { return r.At.After(known) })
 	}
-	extra, asked := map[string][]Run{}, map[string][]time.Time{}
+	retries, sent := map[string][]Run{}, map[string][]time.Time{}
 	for _, call := range c.calls {
-		asked[call.Kind.Service] = append(asked[call.Kind.Service], call.Sent)
+		sent[call.Kind.Service] = append(sent[call.Kind.Service], call.Sent)
 	}
 	slices.SortFunc(runs, func(a, b Run) int { return a.At.Compare(b.At) })
 	first, read := map[string]bool{}, map[string]bool{}
@@ -407,32 +428,33 @@
 		switch {
 		case !known:
 		case r.Prefill && r.Read && !read[r.Request]:
-			read[r.Request] = true // the first reading of a prompt is not extra
-		case first[r.Request]: // a prefill that was turned away counts like a send
-			extra[r.Service] = append(extra[r.Service], r)
+			read[r.Request] = true // the first prefill that accepts the prompt is no retry
+		case first[r.Request]: // a rejected prefill counts as a send
+			retries[r.Service] = append(retries[r.Service], r)
 		default:
 			first[r.Request] = true
 		}
 	}
-	for service, list := range extra {
+	for service, list := range retries {
 		for i, newest := range list {
 			from := newest.At.Add(-c.Bounds.Window)
-			var which []string
+			var counted []string
 			for _, r := range list[:i+1] {
 				if r.At.After(from) {
-					which = append(which, r.Request+" at "+r.Endpoint)
+					counted = append(counted, r.Request+" at "+r.Endpoint)
 				}
 			}
-			requests := max(within(asked[service], from, newest.At), within(asked[service], from.Add(-c.Bounds.Window), from))
-			if allowed := c.Bounds.Ratio*float64(requests) + c.Bounds.Extra; float64(len(which)) > allowed {
-				c.broken("retry budget", service, newest.At, "%d extra sends in %s, allowed %.1f: %s",
-					len(which), c.Bounds.Window, allowed, strings.Join(which, ", "))
+			requests := max(countWithin(sent[service], from, newest.At), countWithin(sent[service], from.Add(-c.Bounds.Window), from))
+			if allowed := c.Bounds.Ratio*float64(requests) + c.Bounds.Extra; float64(len(counted)) > allowed {
+				c.violated("retry budget", service, newest.At, "%d retries within %s, allowed %.1f: %s",
+					len(counted), c.Bounds.Window, allowed, strings.Join(counted, ", "))
 			}
 		}
 	}
 }
 
-func within(times []time.Time, from, to time.Time) int {
+// countWithin counts the times after from, up to and including to.
+func countWithin(times []time.Time, from, to time.Time) int {
 	n := 0
 	for _, t := range times {
 		if t.After(from) && !t.After(to) {
--- a/internal/soak/checker/checker_test.go
+++ b/internal/soak/checker/checker_test.go
@@ -17,7 +17,7 @@
 
 var errCut = errors.New("connection was cut")
 
-// bounds are short and without slack, so that tests need not wait.
+// bounds are short and without slack, so that the tests need not wait.
 var bounds = checker.Bounds{
 	Contact: time.Second, Drain: 2 * time.Second, Config: 2 * time.Second, Outer: 5 * time.Second,
 	Gone: 500 * time.Millisecond, Ratio: 0.2, Extra: 2, Window: 10 * time.Second, Timed: true,
@@ -33,7 +33,7 @@
 	return caller.Kind{}
 }
 
-// call is a good call that ended a moment ago.
+// call returns a successful call that has just ended.
 func call(id, path string) caller.Call {
 	now := time.Now()
 	c := caller.Call{
@@ -47,7 +47,7 @@
 	return c
 }
 
-// run is what an endpoint saw of a call.
+// run returns a call as an endpoint received and ran it.
 func run(c caller.Call) checker.Run {
 	return checker.Run{
 		Arrival: standin.Arrival{
@@ -58,25 +58,26 @@
 	}
 }
 
-// scene is what one case feeds to a checker.
-type scene struct {
-	calls []caller.Call
-	runs  []checker.Run
-	begin func(*timeline.Timeline)
-	tell  func(*checker.Checker)
+// scenario is what one test case feeds to a checker.
+type scenario struct {
+	calls       []caller.Call
+	runs        []checker.Run
+	beginFaults func(*timeline.Timeline)
+	observe     func(*checker.Checker)
 }
 
-// one is a scene of one call, seen by one endpoint, both as change makes them.
-func one(path string, change func(*caller.Call, *checker.Run)) scene {
+// singleCall returns a scenario of one call that reaches one endpoint; change
+// modifies both.
+func singleCall(path string, change func(*caller.Call, *checker.Run)) scenario {
 	c := call("r1", path)
 	r := run(c)
 	change(&c, &r)
-	return scene{calls: []caller.Call{c}, runs: []checker.Run{r}}
+	return scenario{calls: []caller.Call{c}, runs: []checker.Run{r}}
 }
 
-// many is a scene of so many calls of a kind at once.
-func many(path string, calls int) scene {
-	var s scene
+// manyCalls returns a scenario of simultaneous calls of one kind.
+func manyCalls(path string, calls int) scenario {
+	var s scenario
 	for n := range calls {
 		c := call(fmt.Sprint("r", n), path)
 		s.calls, s.runs = append(s.calls, c), append(s.runs, run(c))
@@ -84,10 +85,10 @@
 	return s
 }
 
-// words is a scene of a call whose endpoint's answer says something, and of calls that
-// come so much later.
-func words(say func(*checker.Run), later ...time.Duration) scene {
-	s := one("/safe/x", func(_ *caller.Call, r *checker.Run) { say(r) })
+// withNotice returns a scenario of a call whose answer carries a notice of the endpoint,
+// and of later calls.
+func withNotice(set func(*checker.Run), later ...time.Duration) scenario {
+	s := singleCall("/safe/x", func(_ *caller.Call, r *checker.Run) { set(r) })
 	for n, after := range later {
 		c := call(fmt.Sprint("later", n), "/safe/x")
 		c.Sent, c.Ended = c.Sent.Add(after), c.Ended.Add(after)
@@ -96,14 +97,14 @@
 	return s
 }
 
-func leaves(r *checker.Run) { r.Leaving = true }
+func setLeaving(r *checker.Run) { r.Leaving = true }
 
-func rests(r *checker.Run) { r.Rest, r.Ran = 3*time.Second, false }
+func setBackoff(r *checker.Run) { r.Rest, r.Ran = 3*time.Second, false }
 
-// limited is a scene of an endpoint that names a limit of one request a second in answers
-// through so many instances, and then of so many requests in a moment.
-func limited(instances, requests int) scene {
-	var s scene
+// limited returns a scenario of an endpoint that names a limit of one request a second in
+// answers to each of the instances, followed by a burst of requests.
+func limited(instances, requests int) scenario {
+	var s scenario
 	add := func(id string, after time.Duration, instance string) {
 		c := call(id, "/safe/x")
 		c.Sent, c.Ended, c.Gateway.Name = c.Sent.Add(after), c.Ended.Add(after), instance
@@ -112,7 +113,7 @@
 		s.calls, s.runs = append(s.calls, c), append(s.runs, r)
 	}
 	for n := range instances {
-		add(fmt.Sprint("told", n), 0, fmt.Sprint("a-", n+1))
+		add(fmt.Sprint("informed", n), 0, fmt.Sprint("a-", n+1))
 	}
 	for n := range requests {
 		add(fmt.Sprint("later", n), 9*time.Second+time.Duration(n)*time.Millisecond, fmt.Sprint("a-", n%max(instances, 1)+1))
@@ -120,24 +121,25 @@
 	return s
 }
 
-// during adds a fault that lasts to a scene.
-func during(s scene, scope timeline.Scope, target string) scene {
-	s.begin = func(f *timeline.Timeline) { f.Begin(scope, target, "trouble") }
+// during adds a fault to a scenario that lasts until its end.
+func during(s scenario, scope timeline.Scope, target string) scenario {
+	s.beginFaults = func(f *timeline.Timeline) { f.Begin(scope, target, "trouble") }
 	return s
 }
 
-// elsewhere has all but the first call of a scene go through another instance.
-func elsewhere(s scene) scene {
+// viaOther sends all calls of a scenario but the first through another instance.
+func viaOther(s scenario) scenario {
 	for n := range s.calls[1:] {
 		s.calls[n+1].Gateway.Name = "a-2"
 	}
 	return s
 }
 
-// evacuated is a request at an endpoint some time after its zone was evacuated.
-func evacuated(after time.Duration, over bool) scene {
-	s := one("/safe/x", func(_ *caller.Call, r *checker.Run) { r.At, r.Zone = time.Now().Add(after), "a" })
-	s.tell = func(c *checker.Checker) {
+// evacuated returns a scenario of a request at an endpoint some time after its zone was
+// evacuated; over revokes the evacuation.
+func evacuated(after time.Duration, over bool) scenario {
+	s := singleCall("/safe/x", func(_ *caller.Call, r *checker.Run) { r.At, r.Zone = time.Now().Add(after), "a" })
+	s.observe = func(c *checker.Checker) {
 		end := c.Evacuated("a")
 		if over {
 			end()
@@ -146,161 +148,163 @@
 	return s
 }
 
-// chilled is requests at an endpoint within a second, some time after it turned cold.
-func chilled(count int, after time.Duration) scene {
-	var s scene
+// cold returns a scenario of requests at an endpoint within a second, some time after the
+// endpoint became cold.
+func cold(count int, after time.Duration) scenario {
+	var s scenario
 	for n := range count {
 		c := call(fmt.Sprint("r", n), "/safe/x")
 		r := run(c)
 		r.At = time.Now().Add(after + time.Duration(n)*100*time.Millisecond)
 		s.calls, s.runs = append(s.calls, c), append(s.runs, r)
 	}
-	s.tell = func(c *checker.Checker) { c.Cold("e1") }
+	s.observe = func(c *checker.Checker) { c.Cold("e1") }
 	return s
 }
 
-// home is a request of zone a's region at an endpoint of a zone.
-func home(zone string) scene {
+// home returns a scenario of a request that must stay in the region of zone a, at an
+// endpoint of the given zone.
+func home(zone string) scenario {
 	c := call("r1", "/safe/x")
 	c.Kind = caller.Home("a")
 	r := run(c)
 	r.Zone = zone
-	return scene{calls: []caller.Call{c}, runs: []checker.Run{r}}
+	return scenario{calls: []caller.Call{c}, runs: []checker.Run{r}}
 }
 
 func TestPromises(t *testing.T) {
 	tests := []struct {
 		name string
-		want string // the promise that is reported; empty: none
-		scene
+		want string // the promise that is violated; empty if none is
+		scenario
 	}{
-		{"all is well", "", one("/unsafe/x", func(*caller.Call, *checker.Run) {})},
-		{"a stream is well", "", one("/stream/x", func(*caller.Call, *checker.Run) {})},
-		{"runs twice", "at most once", func() scene {
-			s := one("/unsafe/x", func(*caller.Call, *checker.Run) {})
+		{"success", "", singleCall("/unsafe/x", func(*caller.Call, *checker.Run) {})},
+		{"successful stream", "", singleCall("/stream/x", func(*caller.Call, *checker.Run) {})},
+		{"not idempotent, runs twice", "at most once", func() scenario {
+			s := singleCall("/unsafe/x", func(*caller.Call, *checker.Run) {})
 			s.runs = append(s.runs, s.runs[0])
 			return s
 		}()},
-		{"may run twice", "", func() scene {
-			s := one("/safe/x", func(*caller.Call, *checker.Run) {})
+		{"idempotent, runs twice", "", func() scenario {
+			s := singleCall("/safe/x", func(*caller.Call, *checker.Run) {})
 			s.runs = append(s.runs, s.runs[0])
 			return s
 		}()},
-		{"refused though it ran", "true refusal", one("/once/x", func(c *caller.Call, _ *checker.Run) {
+		{"rejected as not run, but ran", "true refusal", singleCall("/once/x", func(c *caller.Call, _ *checker.Run) {
 			c.Reply = standin.Reply{Status: http.StatusServiceUnavailable}
 		})},
-		{"an answer of its own", "own answer", one("/safe/x", func(c *caller.Call, _ *checker.Run) { c.Reply.Signed = false })},
-		{"another's answer", "whole answer", one("/safe/x", func(c *caller.Call, _ *checker.Run) { c.Reply.Body = standin.Whole("r2") })},
-		{"a stream lacks an event", "whole answer", one("/stream/x", func(c *caller.Call, _ *checker.Run) {
+		{"answer without an endpoint's signature", "own answer", singleCall("/safe/x", func(c *caller.Call, _ *checker.Run) { c.Reply.Signed = false })},
+		{"answer to another request", "whole answer", singleCall("/safe/x", func(c *caller.Call, _ *checker.Run) { c.Reply.Body = standin.Whole("r2") })},
+		{"stream without its last event", "whole answer", singleCall("/stream/x", func(c *caller.Call, _ *checker.Run) {
 			c.Reply.Body = standin.Stream("r1", standin.Events-1)
 		})},
-		{"a broken stream has an event twice", "unmixed answer", one("/stream/x", func(c *caller.Call, _ *checker.Run) {
+		{"interrupted stream with a repeated event", "unmixed answer", singleCall("/stream/x", func(c *caller.Call, _ *checker.Run) {
 			c.Reply.Body, c.Reply.Err = standin.Event("r1", 1)+standin.Event("r1", 1), errCut
 		})},
-		{"a broken stream is a part", "", one("/stream/x", func(c *caller.Call, _ *checker.Run) {
+		{"interrupted stream without a gap", "", singleCall("/stream/x", func(c *caller.Call, _ *checker.Run) {
 			c.Reply.Body, c.Reply.Err = standin.Event("r1", 1)+"id: 2", errCut
 		})},
-		{"what all allow is not found", "allowed", one("/safe/x", func(c *caller.Call, _ *checker.Run) {
+		{"route of every configuration not found", "allowed", singleCall("/safe/x", func(c *caller.Call, _ *checker.Run) {
 			c.Reply = standin.Reply{Status: http.StatusNotFound}
 		})},
-		{"in another workspace's name", "own workspace", one("/safe/x", func(_ *caller.Call, r *checker.Run) { r.Workspace = "fern" })},
-		{"with its key", "own workspace", one("/safe/x", func(_ *caller.Call, r *checker.Run) { r.Key = true })},
-		{"over its limit", "limit of a workspace", many("/unsafe/y", 4)},
-		{"at its limit", "", many("/unsafe/y", 3)},
-		{"another without a limit", "", many("/safe/x", 9)},
-		{"another path arrives", "unchanged", one("/safe/x", func(_ *caller.Call, r *checker.Run) { r.Target = "/safe/" })},
-		{"another service runs it", "own service", one("/safe/x", func(_ *caller.Call, r *checker.Run) { r.Service = "llm" })},
-		{"nobody sent it", "unasked", one("/safe/x", func(_ *caller.Call, r *checker.Run) { r.Request = "r9" })},
-		{"work for a caller that left", "caller gone", one("/stream/x", func(c *caller.Call, r *checker.Run) {
+		{"run for another workspace", "own workspace", singleCall("/safe/x", func(_ *caller.Call, r *checker.Run) { r.Workspace = "fern" })},
+		{"caller's key passed to the endpoint", "own workspace", singleCall("/safe/x", func(_ *caller.Call, r *checker.Run) { r.Key = true })},
+		{"workspace over its limit", "limit of a workspace", manyCalls("/unsafe/y", 4)},
+		{"workspace at its limit", "", manyCalls("/unsafe/y", 3)},
+		{"workspace without a limit", "", manyCalls("/safe/x", 9)},
+		{"path changed", "unchanged", singleCall("/safe/x", func(_ *caller.Call, r *checker.Run) { r.Target = "/safe/" })},
+		{"run by another service", "own service", singleCall("/safe/x", func(_ *caller.Call, r *checker.Run) { r.Service = "llm" })},
+		{"request that no caller sent", "unasked", singleCall("/safe/x", func(_ *caller.Call, r *checker.Run) { r.Request = "r9" })},
+		{"work for a caller that disconnected", "caller gone", singleCall("/stream/x", func(c *caller.Call, r *checker.Run) {
 			c.Left, c.Reply = true, standin.Reply{Err: errCut}
 			c.Sent, c.Ended = c.Sent.Add(-2*time.Second), c.Ended.Add(-2*time.Second)
 			r.Ended = time.Time{}
 		})},
-		{"no answer at all", "answered", one("/safe/x", func(c *caller.Call, _ *checker.Run) {
+		{"no answer", "answered", singleCall("/safe/x", func(c *caller.Call, _ *checker.Run) {
 			c.Sent, c.Reply = c.Ended.Add(-6*time.Second), standin.Reply{Err: errCut}
 		})},
-		{"a planned stop cuts", "planned stop", func() scene {
-			s := one("/stream/x", func(c *caller.Call, _ *checker.Run) { c.Reply = standin.Reply{Status: 200, Signed: true, Err: errCut} })
-			s.begin = func(f *timeline.Timeline) { f.Begin(timeline.Planned, "a-1", "stop") }
+		{"planned stop interrupts an answer", "planned stop", func() scenario {
+			s := singleCall("/stream/x", func(c *caller.Call, _ *checker.Run) { c.Reply = standin.Reply{Status: 200, Signed: true, Err: errCut} })
+			s.beginFaults = func(f *timeline.Timeline) { f.Begin(timeline.Planned, "a-1", "stop") }
 			s.calls[0].Ended = time.Now().Add(time.Second)
 			return s
 		}()},
-		{"an endpoint that fails is no fault of a stop", "", func() scene {
-			s := one("/stream/x", func(c *caller.Call, _ *checker.Run) { c.Reply = standin.Reply{Status: 200, Signed: true, Err: errCut} })
-			s.begin = func(f *timeline.Timeline) {
+		{"endpoint crashes during a planned stop", "", func() scenario {
+			s := singleCall("/stream/x", func(c *caller.Call, _ *checker.Run) { c.Reply = standin.Reply{Status: 200, Signed: true, Err: errCut} })
+			s.beginFaults = func(f *timeline.Timeline) {
 				f.Begin(timeline.Planned, "a-1", "stop")
 				f.Begin(timeline.Endpoint, "e1", "crash")
 			}
 			s.calls[0].Ended = time.Now().Add(time.Second)
 			return s
 		}()},
-		{"a process ends by itself", "lives on", scene{tell: func(c *checker.Checker) { c.Ended("a-1", 1, errCut) }}},
-		{"a stop has no end", "planned stop", scene{tell: func(c *checker.Checker) { c.Outlived("a-1", 1, time.Now()) }}},
-		{"a paused stop has none yet", "", scene{
-			begin: func(f *timeline.Timeline) { f.Begin(timeline.Process, "a-1", "pause") },
-			tell:  func(c *checker.Checker) { c.Outlived("a-1", 1, time.Now()) },
+		{"process exits unexpectedly", "lives on", scenario{observe: func(c *checker.Checker) { c.Ended("a-1", 1, errCut) }}},
+		{"process does not stop", "planned stop", scenario{observe: func(c *checker.Checker) { c.Outlived("a-1", 1, time.Now()) }}},
+		{"paused process does not stop", "", scenario{
+			beginFaults: func(f *timeline.Timeline) { f.Begin(timeline.Process, "a-1", "pause") },
+			observe:     func(c *checker.Checker) { c.Outlived("a-1", 1, time.Now()) },
 		}},
-		{"a leaving endpoint gets work", "leaving endpoint", func() scene {
-			s := one("/safe/x", func(_ *caller.Call, r *checker.Run) { r.At = time.Now().Add(3 * time.Second) })
-			s.tell = func(c *checker.Checker) { c.Leaves("e1") }
+		{"leaving endpoint gets a request", "leaving endpoint", func() scenario {
+			s := singleCall("/safe/x", func(_ *caller.Call, r *checker.Run) { r.At = time.Now().Add(3 * time.Second) })
+			s.observe = func(c *checker.Checker) { c.Leaves("e1") }
 			return s
 		}()},
-		{"a leaving endpoint gets work while the store refuses some", "", func() scene {
-			s := one("/safe/x", func(_ *caller.Call, r *checker.Run) { r.At = time.Now().Add(3 * time.Second) })
-			s.tell = func(c *checker.Checker) { c.Leaves("e1") }
-			s.begin = func(f *timeline.Timeline) { f.Begin(timeline.Door, "a-1", "busy") }
+		{"leaving endpoint gets a request while the store fails an instance", "", func() scenario {
+			s := singleCall("/safe/x", func(_ *caller.Call, r *checker.Run) { r.At = time.Now().Add(3 * time.Second) })
+			s.observe = func(c *checker.Checker) { c.Leaves("e1") }
+			s.beginFaults = func(f *timeline.Timeline) { f.Begin(timeline.Door, "a-1", "busy") }
 			return s
 		}()},
-		{"an endpoint of an evacuated zone gets work", "evacuated zone", evacuated(3*time.Second, false)},
-		{"it gets work for a moment", "", evacuated(time.Second, false)},
-		{"it is used again", "", evacuated(3*time.Second, true)},
-		{"the store has been away since", "", during(evacuated(3*time.Second, false), timeline.Store, "")},
-		{"a cold endpoint gets more than it takes", "cold endpoint", chilled(8, 3*time.Second)},
-		{"it gets what is allowed", "", chilled(7, 3*time.Second)},
-		{"just after it turned cold", "", chilled(8, time.Second)},
-		{"from one that was paused since", "", during(chilled(8, 3*time.Second), timeline.Process, "a-1")},
-		{"a request stays at home", "", home("a")},
-		{"another region sees one", "home region", home("b")},
-		{"an endpoint whose answer says that it leaves gets work", "announced leave", words(leaves, 3*time.Second)},
-		{"the same while the store is away", "announced leave", during(words(leaves, 3*time.Second), timeline.Store, "")},
-		{"it gets work for a moment", "", words(leaves, time.Second)},
-		{"from an instance that was not told", "", elsewhere(words(leaves, 3*time.Second))},
-		{"from one that has started anew", "", during(words(leaves, 3*time.Second), timeline.Process, "a-1")},
-		{"the answer did not arrive", "", words(func(r *checker.Run) { r.Leaving, r.Cancelled = true, true }, 3*time.Second)},
-		{"an endpoint that wants none gets three", "rest", words(rests, time.Second, 2*time.Second, 2*time.Second)},
-		{"the same while the store is away", "rest", during(words(rests, time.Second, time.Second, 2*time.Second), timeline.Store, "")},
-		{"it gets two, and others before and after", "", words(rests, 100*time.Millisecond, time.Second, 2*time.Second, 4*time.Second)},
-		{"from others", "", elsewhere(words(rests, time.Second, time.Second, 2*time.Second))},
-		{"the way to it is bad", "", during(words(rests, time.Second, time.Second, 2*time.Second), timeline.Endpoint, "e1")},
-		{"an endpoint that takes one a second gets more", "limit", limited(1, 12)},
-		{"from several, none of which alone sends so many", "limit", limited(4, 12)},
-		{"while the store is away", "limit", during(limited(4, 12), timeline.Store, "")},
-		{"it gets what is allowed", "", limited(4, 11)},
-		{"from instances that it has not told", "", func() scene {
+		{"evacuated zone gets a request", "evacuated zone", evacuated(3*time.Second, false)},
+		{"evacuated zone gets a request just after its evacuation", "", evacuated(time.Second, false)},
+		{"zone no longer evacuated gets a request", "", evacuated(3*time.Second, true)},
+		{"evacuated zone gets a request while the store is unavailable", "", during(evacuated(3*time.Second, false), timeline.Store, "")},
+		{"cold endpoint gets too many requests", "cold endpoint", cold(8, 3*time.Second)},
+		{"cold endpoint gets as many requests as allowed", "", cold(7, 3*time.Second)},
+		{"endpoint gets many requests just after it became cold", "", cold(8, time.Second)},
+		{"cold endpoint gets many requests from a paused instance", "", during(cold(8, 3*time.Second), timeline.Process, "a-1")},
+		{"request stays in its region", "", home("a")},
+		{"request in another region", "home region", home("b")},
+		{"endpoint gets a request after its leaving notice", "announced leave", withNotice(setLeaving, 3*time.Second)},
+		{"endpoint gets a request after its leaving notice, store unavailable", "announced leave", during(withNotice(setLeaving, 3*time.Second), timeline.Store, "")},
+		{"endpoint gets a request just after its leaving notice", "", withNotice(setLeaving, time.Second)},
+		{"request from an instance that received no leaving notice", "", viaOther(withNotice(setLeaving, 3*time.Second))},
+		{"request from an instance restarted after its leaving notice", "", during(withNotice(setLeaving, 3*time.Second), timeline.Process, "a-1")},
+		{"leaving notice in a cancelled answer", "", withNotice(func(r *checker.Run) { r.Leaving, r.Cancelled = true, true }, 3*time.Second)},
+		{"three requests during a backoff", "rest", withNotice(setBackoff, time.Second, 2*time.Second, 2*time.Second)},
+		{"three requests during a backoff, store unavailable", "rest", during(withNotice(setBackoff, time.Second, time.Second, 2*time.Second), timeline.Store, "")},
+		{"two requests during a backoff, others before and after", "", withNotice(setBackoff, 100*time.Millisecond, time.Second, 2*time.Second, 4*time.Second)},
+		{"requests of another instance during a backoff", "", viaOther(withNotice(setBackoff, time.Second, time.Second, 2*time.Second))},
+		{"requests during a backoff, link to the endpoint faulty", "", during(withNotice(setBackoff, time.Second, time.Second, 2*time.Second), timeline.Endpoint, "e1")},
+		{"endpoint gets more requests than its limit", "limit", limited(1, 12)},
+		{"instances exceed an endpoint's limit only together", "limit", limited(4, 12)},
+		{"endpoint gets more requests than its limit, store unavailable", "limit", during(limited(4, 12), timeline.Store, "")},
+		{"endpoint gets as many requests as its limit allows", "", limited(4, 11)},
+		{"requests over a limit from instances without the notice", "", func() scenario {
 			s := limited(4, 12)
 			for n := range s.calls {
 				s.calls[n].Gateway.Name = fmt.Sprint("b-", n)
 			}
 			return s
 		}()},
-		{"one of them has started anew", "", during(limited(4, 12), timeline.Process, "a-1")},
-		{"they were cut off from each other", "", during(limited(4, 12), timeline.Peers, "")},
-		{"a version is not in force", "configuration", func() scene {
+		{"requests over a limit, an instance restarted", "", during(limited(4, 12), timeline.Process, "a-1")},
+		{"requests over a limit, instances partitioned", "", during(limited(4, 12), timeline.Peers, "")},
+		{"configuration not in force", "configuration", func() scenario {
 			c := call("r1", "/safe/x")
 			c.Kind, c.Reply = caller.Added(2), standin.Reply{Status: http.StatusNotFound}
 			c.Sent, c.Ended = time.Now().Add(3*time.Second), time.Now().Add(3*time.Second)
-			return scene{calls: []caller.Call{c}, tell: func(c *checker.Checker) { c.Configured(2) }}
+			return scenario{calls: []caller.Call{c}, observe: func(c *checker.Checker) { c.Configured(2) }}
 		}()},
-		{"a version goes back", "never back", func() scene {
-			knew, forgot := call("r1", "/safe/x"), call("r2", "/safe/x")
-			knew.Kind, forgot.Kind = caller.Added(3), caller.Added(2)
-			forgot.Sent, forgot.Reply = time.Now(), standin.Reply{Status: http.StatusNotFound}
-			r := run(knew)
+		{"configuration reverted", "never back", func() scenario {
+			newer, older := call("r1", "/safe/x"), call("r2", "/safe/x")
+			newer.Kind, older.Kind = caller.Added(3), caller.Added(2)
+			older.Sent, older.Reply = time.Now(), standin.Reply{Status: http.StatusNotFound}
+			r := run(newer)
 			r.Target = caller.Added(3).Path
-			return scene{calls: []caller.Call{knew, forgot}, runs: []checker.Run{r}}
+			return scenario{calls: []caller.Call{newer, older}, runs: []checker.Run{r}}
 		}()},
-		{"prefills that were turned away first", "", func() scene {
-			var s scene
+		{"first prefill rejected", "", func() scenario {
+			var s scenario
 			for _, id := range []string{"r1", "r2", "r3", "r4"} {
 				c := call(id, "/stream/x")
 				r := run(c)
@@ -309,8 +313,8 @@
 			}
 			return s
 		}()},
-		{"more extra sends than the budget", "retry budget", func() scene {
-			s := one("/safe/x", func(*caller.Call, *checker.Run) {})
+		{"more retries than the budget", "retry budget", func() scenario {
+			s := singleCall("/safe/x", func(*caller.Call, *checker.Run) {})
 			for range 3 {
 				s.runs = append(s.runs, s.runs[0])
 			}
@@ -321,11 +325,11 @@
 		t.Run(test.name, func(t *testing.T) {
 			faults := &timeline.Timeline{}
 			c := checker.New(bounds, faults, func() []checker.Run { return test.runs })
-			if test.begin != nil {
-				test.begin(faults)
+			if test.beginFaults != nil {
+				test.beginFaults(faults)
 			}
-			if test.tell != nil {
-				test.tell(c)
+			if test.observe != nil {
+				test.observe(c)
 			}
 			for _, call := range test.calls {
 				c.Called(call)
--- a/internal/soak/checker/cold.go
+++ b/internal/soak/checker/cold.go
@@ -5,31 +5,32 @@
 	"time"
 )
 
-// Within coldWindow a cold endpoint may get coldTimes what it takes, and coldMore besides.
+// A cold endpoint may receive coldFactor times what its rate allows within coldWindow, and
+// coldExtra requests in addition.
 const (
 	coldWindow = time.Second
-	coldTimes  = 1.5
-	coldMore   = 5
+	coldFactor = 1.5
+	coldExtra  = 5
 )
 
-// Cold notes that the store has an endpoint's entry that tells that it is cold. end is to
-// be called before it tells otherwise.
-func (c *Checker) Cold(endpoint string) (end func()) { return c.begin(&c.cold, endpoint) }
+// Cold records that the store has acknowledged an entry that marks an endpoint as cold.
+// The caller calls end just before the entry is changed back.
+func (c *Checker) Cold(endpoint string) (end func()) { return c.beginChange(&c.cold, endpoint) }
 
-// checkCold judges whether all instances that must know of a cold endpoint together spare
-// it.
+// checkCold checks that the instances that must know that an endpoint is cold do not
+// together send it more requests than it accepts.
 func (c *Checker) checkCold(runs []Run) {
-	for _, e := range c.cold {
+	for _, change := range c.cold {
 		var counted []Run
 		for _, r := range runs {
 			call, ended := c.calls[r.Request]
-			if r.Endpoint == e.target && ended && e.stands(r) && c.mustKnow(call, r, e.from) {
+			if r.Endpoint == change.target && ended && change.inForce(r) && c.mustKnow(call, r, change.from) {
 				counted = append(counted, r)
 			}
 		}
 		slices.SortFunc(counted, func(a, b Run) int { return a.At.Compare(b.At) })
-		if r, got := firstBeyond(counted, coldWindow, int(coldTimes*c.Bounds.ColdRate+coldMore)); got > 0 {
-			c.broken("cold endpoint", e.target, r.At, "it takes %g a second, and got %d in %s", c.Bounds.ColdRate, got, coldWindow)
+		if r, count := firstExceeding(counted, coldWindow, int(coldFactor*c.Bounds.ColdRate+coldExtra)); count > 0 {
+			c.violated("cold endpoint", change.target, r.At, "it accepts %g requests a second, and received %d within %s", c.Bounds.ColdRate, count, coldWindow)
 		}
 	}
 }
--- a/internal/soak/checker/limits.go
+++ b/internal/soak/checker/limits.go
@@ -9,107 +9,109 @@
 )
 
 const (
-	// limitWindow is the span in which requests to an endpoint that names a limit are
-	// counted, limitTimes and limitMore what is allowed in it.
+	// An endpoint that names a limit may receive limitFactor times that limit within
+	// limitWindow, and limitExtra requests in addition.
 	limitWindow = 4 * time.Second
-	limitTimes  = 1.5
-	limitMore   = 5
-	// limitHeard is how long after an instance has passed on an answer that names a limit
-	// its requests count.
-	limitHeard = 500 * time.Millisecond
+	limitFactor = 1.5
+	limitExtra  = 5
+	// limitDelay is the time after which an instance that relayed an answer with a limit
+	// must respect the limit.
+	limitDelay = 500 * time.Millisecond
 )
 
-// naming is a time for which all answers of an endpoint named a limit.
-type naming struct {
+// limitPeriod is a period during which all answers of an endpoint named a limit.
+type limitPeriod struct {
 	from, to time.Time
-	rate     float64 // the highest that was named
+	rate     float64 // the highest limit, in requests a second
 	runs     []Run
 }
 
-// checkLimits judges whether all instances together keep to the limits that endpoints
-// name, also while the store is away.
-func (c *Checker) checkLimits(runs []Run) {
+// checkEndpointLimits checks that all instances together respect the limits that endpoints
+// name in their answers, also while the store is unavailable.
+func (c *Checker) checkEndpointLimits(runs []Run) {
 	byEndpoint := map[string][]Run{}
 	for _, r := range runs {
 		byEndpoint[r.Endpoint] = append(byEndpoint[r.Endpoint], r)
 	}
 	for endpoint, list := range byEndpoint {
 		slices.SortFunc(list, func(a, b Run) int { return a.At.Compare(b.At) })
-		for _, n := range namings(list) {
-			c.checkNaming(endpoint, n)
+		for _, p := range limitPeriods(list) {
+			c.checkLimitPeriod(endpoint, p)
 		}
 	}
 }
 
-// namings are the times for which an endpoint named a limit; a limit that rises or falls
-// begins no other.
-func namings(list []Run) []naming {
-	var all []naming
-	named := false
+// limitPeriods returns the periods during which an endpoint named limits. A change of the
+// limit does not start a new period.
+func limitPeriods(list []Run) []limitPeriod {
+	var periods []limitPeriod
+	inPeriod := false
 	for _, r := range list {
 		rate, err := strconv.ParseFloat(r.Limit, 64)
 		if err != nil {
-			named = false
+			inPeriod = false
 			continue
 		}
-		if !named {
-			all = append(all, naming{from: r.At})
+		if !inPeriod {
+			periods = append(periods, limitPeriod{from: r.At})
 		}
-		named = true
-		n := &all[len(all)-1]
-		n.to, n.rate, n.runs = r.At, max(n.rate, rate), append(n.runs, r)
+		inPeriod = true
+		p := &periods[len(periods)-1]
+		p.to, p.rate, p.runs = r.At, max(p.rate, rate), append(p.runs, r)
 	}
-	return all
+	return periods
 }
 
-// checkNaming counts what counts in each window.
-func (c *Checker) checkNaming(endpoint string, n naming) {
-	begin := n.from.Add(c.Bounds.Contact + c.Bounds.Slack)
-	allowed := int(limitTimes*n.rate*limitWindow.Seconds() + limitMore)
-	told := map[life]time.Time{}
+// checkLimitPeriod checks the requests of instances that knew the limit, in a sliding
+// window.
+func (c *Checker) checkLimitPeriod(endpoint string, p limitPeriod) {
+	begin := p.from.Add(c.Bounds.Contact + c.Bounds.Slack)
+	allowed := int(limitFactor*p.rate*limitWindow.Seconds() + limitExtra)
+	informed := map[incarnation]time.Time{}
 	var counted []Run
-	for _, r := range n.runs {
+	for _, r := range p.runs {
 		call, ended := c.calls[r.Request]
 		if !ended {
 			continue
 		}
-		l := lifeOf(call)
-		if r.At.After(begin) && c.countsFor(endpoint, l, told, r) {
+		inc := incarnationOf(call)
+		if r.At.After(begin) && c.countsAgainstLimit(endpoint, inc, informed, r) {
 			counted = append(counted, r)
 		}
-		if at, known := told[l]; c.passedOn(r) && (!known || r.Ended.Before(at)) {
-			told[l] = r.Ended
+		if at, known := informed[inc]; c.relayed(r) && (!known || r.Ended.Before(at)) {
+			informed[inc] = r.Ended
 		}
 	}
-	if r, got := firstBeyond(counted, limitWindow, allowed); got > 0 {
-		c.broken("limit", r.Request, r.At, "%s, which took %g a second, got %d in %s from instances that it had told; allowed %d",
-			endpoint, n.rate, got, limitWindow, allowed)
+	if r, count := firstExceeding(counted, limitWindow, allowed); count > 0 {
+		c.violated("limit", r.Request, r.At, "%s, which accepts %g requests a second, received %d within %s from instances that knew the limit; allowed %d",
+			endpoint, p.rate, count, limitWindow, allowed)
 	}
 }
 
-// firstBeyond is the first of requests, in order of time, with which more came within a
-// window than is allowed, and how many those are; 0: there is none.
-func firstBeyond(list []Run, window time.Duration, allowed int) (Run, int) {
+// firstExceeding returns the first run, of a list ordered by time, with which the number of
+// runs within a window exceeds what is allowed, and that number; 0 if there is none.
+func firstExceeding(list []Run, window time.Duration, allowed int) (Run, int) {
 	first := 0
 	for i, r := range list {
 		for r.At.Sub(list[first].At) > window {
 			first++
 		}
-		if got := i - first + 1; got > allowed {
-			return r, got
+		if count := i - first + 1; count > allowed {
+			return r, count
 		}
 	}
 	return Run{}, 0
 }
 
-// countsFor says whether a request counts: its instance had passed on such an answer,
-// and neither the instance, nor its way to the others, nor the endpoint was struck.
-func (c *Checker) countsFor(endpoint string, l life, told map[life]time.Time, r Run) bool {
-	at, known := told[l]
-	if !known || r.At.Sub(at) < limitHeard+c.Bounds.Slack {
+// countsAgainstLimit reports whether a run counts against the limit: its instance had
+// relayed an answer with a limit, and no fault affected the instance, the links between
+// instances or the endpoint.
+func (c *Checker) countsAgainstLimit(endpoint string, inc incarnation, informed map[incarnation]time.Time, r Run) bool {
+	at, known := informed[inc]
+	if !known || r.At.Sub(at) < limitDelay+c.Bounds.Slack {
 		return false
 	}
 	from := r.At.Add(-limitWindow - c.Bounds.Contact)
-	return c.Faults.Calm(from, r.At, l.name, timeline.Process, timeline.Planned, timeline.Peers) &&
+	return c.Faults.Calm(from, r.At, inc.name, timeline.Process, timeline.Planned, timeline.Peers) &&
 		c.Faults.Calm(from, r.At, endpoint, timeline.Endpoint)
 }
--- a/internal/soak/checker/poison.go
+++ b/internal/soak/checker/poison.go
@@ -9,14 +9,15 @@
 )
 
 const (
-	// endsKnown is after how many endpoints that a request has ended all must know.
-	endsKnown = 3
-	// sendsAfter is how often it may reach endpoints once they do.
-	sendsAfter = 3
+	// poisonCrashes is the number of endpoints crashed by a request after which all
+	// instances must know that the request crashes endpoints.
+	poisonCrashes = 3
+	// maxSendsAfter is how often the request may reach endpoints after that.
+	maxSendsAfter = 3
 )
 
-// checkPoison judges how often requests that end endpoints were sent to more of them,
-// by instances that could know of it.
+// checkPoison checks how often a request that crashes endpoints was sent on by instances
+// that must know of it.
 func (c *Checker) checkPoison(runs []Run) {
 	byBody := map[string][]Run{}
 	for _, r := range runs {
@@ -26,26 +27,27 @@
 	}
 	for body, list := range byBody {
 		slices.SortFunc(list, func(a, b Run) int { return a.At.Compare(b.At) })
-		ended, later := 0, 0
-		var third Run
+		crashes, later := 0, 0
+		var threshold Run
 		for _, r := range list {
-			if ended >= endsKnown && r.At.After(third.At.Add(c.Bounds.Contact+c.Bounds.Slack)) && c.knows(r) {
+			if crashes >= poisonCrashes && r.At.After(threshold.At.Add(c.Bounds.Contact+c.Bounds.Slack)) && c.inContact(r) {
 				later++
 			}
 			if r.Ran && !r.Prefill {
-				if ended++; ended == endsKnown {
-					third = r
+				if crashes++; crashes == poisonCrashes {
+					threshold = r
 				}
 			}
 		}
-		if later > sendsAfter {
-			c.broken("ends endpoints", body, third.At, "it was sent %d times more once it had ended %d endpoints; %d ended in all", later, endsKnown, ended)
+		if later > maxSendsAfter {
+			c.violated("ends endpoints", body, threshold.At, "it was sent %d more times after it had crashed %d endpoints; %d crashed in all", later, poisonCrashes, crashes)
 		}
 	}
 }
 
-// knows says whether the instance that sent a request was in touch.
-func (c *Checker) knows(r Run) bool {
+// inContact reports whether the instance that sent a request was running and could reach
+// the store.
+func (c *Checker) inContact(r Run) bool {
 	call, ended := c.calls[r.Request]
 	from := r.At.Add(-c.Bounds.Contact - c.Bounds.Slack)
 	return ended && c.Faults.Calm(from, r.At, call.Gateway.Name, timeline.Process, timeline.Planned, timeline.Door) &&
