--- a/internal/soak/caller/caller.go
+++ b/internal/soak/caller/caller.go
@@ -1,6 +1,6 @@
-// Package caller sends requests as the users' clients do and remembers what it
-// got: each try has an id of its own, some callers keep their connections, some
-// leave before their answer.
+// Package caller sends requests as the users' clients do and records the replies. Each
+// call has its own ID, even if its body repeats; some callers reuse connections, and some
+// disconnect before the answer.
 package caller
 
 import (
@@ -18,87 +18,88 @@
 
 // Kind is a kind of request.
 type Kind struct {
-	Path    string
-	Method  string
-	Service string
-	Once    bool // it must not run twice
-	Stream  bool
-	Version int    // of the configuration that brought its route; 0: the first one
-	Body    string // of each request; empty: each has its own
-	// Workspace is in whose name it is asked.
-	Workspace string
-	Home      string // the only zone whose endpoints may see it; empty: all may
+	Path      string
+	Method    string
+	Service   string
+	Once      bool // must run at most once
+	Stream    bool
+	Version   int    // of the configuration that added its route; 0 for the first one
+	Body      string // of all requests; if empty, each has its own
+	Workspace string // whose key is sent
+	Home      string // the only zone whose endpoints may receive it; empty for all
 }
 
-// The workspaces of the soak. Limited sends more than it may.
+// Workspaces of the soak. Limited sends more requests than its limit allows.
 const (
-	first   = "thorn"
-	second  = "amber"
-	Limited = "fern"
+	firstWorkspace  = "thorn"
+	secondWorkspace = "amber"
+	Limited         = "fern"
 )
 
-// Limit of Limited, in requests: a second, and besides.
+// Limit of the workspace Limited.
 const (
-	LimitRate  = 6
-	LimitBurst = 6
+	LimitRate  = 6 // requests a second
+	LimitBurst = 6 // requests
 )
 
-// Workspaces are those of every configuration.
+// Workspaces returns the workspaces of every configuration.
 func Workspaces() []standin.Workspace {
 	return []standin.Workspace{
-		{Name: first, Keys: []string{key(first)}, Priority: 1},
-		{Name: second, Keys: []string{key(second)}, Priority: 2},
+		{Name: firstWorkspace, Keys: []string{key(firstWorkspace)}, Priority: 1},
+		{Name: secondWorkspace, Keys: []string{key(secondWorkspace)}, Priority: 2},
 		{Name: Limited, Keys: []string{key(Limited)}, Priority: 2, Rate: LimitRate, Burst: LimitBurst},
 	}
 }
 
+// key returns a workspace's API key.
 func key(workspace string) string { return "key-of-" + workspace }
 
-// Kinds are those of the first configuration.
+// Kinds returns the kinds of requests that the first configuration serves.
 func Kinds() []Kind {
 	return []Kind{
-		{Path: "/stream/x", Method: http.MethodPost, Service: "llm", Stream: true, Workspace: first},
-		{Path: "/once" + standin.LongPath, Method: http.MethodPost, Service: "llm", Stream: true, Once: true, Workspace: first},
-		{Path: "/once/x", Method: http.MethodPost, Service: "llm", Stream: true, Once: true, Workspace: second},
-		{Path: "/safe/x", Method: http.MethodGet, Service: "web", Workspace: second},
-		{Path: "/unsafe/x", Method: http.MethodPost, Service: "web", Once: true, Workspace: first},
+		{Path: "/stream/x", Method: http.MethodPost, Service: "llm", Stream: true, Workspace: firstWorkspace},
+		{Path: "/once" + standin.LongPath, Method: http.MethodPost, Service: "llm", Stream: true, Once: true, Workspace: firstWorkspace},
+		{Path: "/once/x", Method: http.MethodPost, Service: "llm", Stream: true, Once: true, Workspace: secondWorkspace},
+		{Path: "/safe/x", Method: http.MethodGet, Service: "web", Workspace: secondWorkspace},
+		{Path: "/unsafe/x", Method: http.MethodPost, Service: "web", Once: true, Workspace: firstWorkspace},
 		{Path: "/unsafe/y", Method: http.MethodPost, Service: "web", Once: true, Workspace: Limited},
 	}
 }
 
-// Added is the kind that a configuration of a version adds.
+// Added returns the kind for the route that a configuration version adds.
 func Added(version int) Kind {
-	return Kind{Path: "/v" + strconv.Itoa(version) + "/x", Method: http.MethodGet, Service: "web", Version: version, Workspace: first}
+	return Kind{Path: "/v" + strconv.Itoa(version) + "/x", Method: http.MethodGet, Service: "web", Version: version, Workspace: firstWorkspace}
 }
 
-// Home is the kind that a zone's region alone may serve.
+// Home returns the kind that only the region of a zone may serve.
 func Home(zone string) Kind {
-	return Kind{Path: "/home/x", Method: http.MethodGet, Service: "web", Workspace: first, Home: zone}
+	return Kind{Path: "/home/x", Method: http.MethodGet, Service: "web", Workspace: firstWorkspace, Home: zone}
 }
 
-// PoisonMark is in the bodies of requests that end the engines that run them.
+// PoisonMark is in the bodies of requests that crash the engines that run them.
 const PoisonMark = "poison"
 
-// Poison is the n-th such request of a run: each of its tries has the same body.
+// Poison returns the kind for the n-th poisoned request of a run. All calls of it have the
+// same body.
 func Poison(n int) Kind {
 	k := Kinds()[0]
-	for _, other := range Kinds() {
-		if other.Path == "/stream/x" {
-			k = other
+	for _, kind := range Kinds() {
+		if kind.Path == "/stream/x" {
+			k = kind
 		}
 	}
 	k.Body = PoisonMark + " " + strconv.Itoa(n)
 	return k
 }
 
-// Gateway is an instance that takes requests.
+// Gateway is an instance that accepts requests.
 type Gateway struct {
 	Name string
-	Life int // of its process, when the request was sent
+	Life int // number of starts of its process when the request was sent
 	At   netip.AddrPort
 }
 
-// Call is one request as its caller knows it.
+// Call is one request and its reply, as the caller observed them.
 type Call struct {
 	ID      string
 	Kind    Kind
@@ -106,35 +107,37 @@
 	Body    string
 	Sent    time.Time
 	Ended   time.Time
-	Left    bool // the caller went away before the answer
+	Left    bool // the caller disconnected before the answer was complete
 	Reply   standin.Reply
 }
 
 const (
-	// wait is what callers say they will wait; they give up graceTime later.
-	wait      = 4 * time.Second
-	graceTime = 1500 * time.Millisecond
-	// leaveShare of the callers leave, some time within leaveMost.
-	leaveShare = 0.08
-	leaveMost  = 300 * time.Millisecond
-	// keepShare of the callers keep their connections.
-	keepShare = 0.5
+	// requestTimeout is the timeout that callers send with a request; they give up
+	// gracePeriod after it.
+	requestTimeout = 4 * time.Second
+	gracePeriod    = 1500 * time.Millisecond
+	// disconnectRatio is the fraction of calls that the caller abandons, at a random time
+	// of up to maxDisconnectDelay.
+	disconnectRatio    = 0.08
+	maxDisconnectDelay = 300 * time.Millisecond
+	// keepAliveRatio is the fraction of callers that reuse connections.
+	keepAliveRatio = 0.5
 )
 
-// Caller sends one request after the other. It is used by one goroutine.
+// Caller sends requests one after another. It must not be used concurrently.
 type Caller struct {
-	Pick func() (Gateway, bool) // an instance that the balancer has in; false: none
+	Pick func() (Gateway, bool) // returns an instance in the balancer's rotation; false if none is
 	Kind func() Kind
 	Done func(Call)
-	Next func() string // an id
+	Next func() string // returns a new request ID
 
 	client *http.Client
 }
 
-// Run calls until ctx ends, with pauses of gap at the mean.
+// Run sends requests until ctx ends, with random pauses of gap on average.
 func (c *Caller) Run(ctx context.Context, gap time.Duration) {
 	c.client = &http.Client{Transport: &http.Transport{
-		DisableKeepAlives: rand.Float64() > keepShare, DisableCompression: true,
+		DisableKeepAlives: rand.Float64() > keepAliveRatio, DisableCompression: true,
 		DialContext: (&net.Dialer{Timeout: time.Second}).DialContext,
 	}}
 	defer c.client.CloseIdleConnections()
@@ -149,7 +152,7 @@
 	}
 }
 
-// Call sends one request.
+// Call sends one request and waits for its end.
 func (c *Caller) Call(ctx context.Context, g Gateway, k Kind) Call {
 	call := Call{ID: c.Next(), Kind: k, Gateway: g, Sent: time.Now()}
 	switch {
@@ -158,17 +161,17 @@
 	case k.Method == http.MethodPost:
 		call.Body = "body of " + call.ID
 	}
-	ctx, cancel := context.WithTimeout(ctx, wait+graceTime)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout+gracePeriod)
 	defer cancel()
 	var once sync.Once
-	if rand.Float64() < leaveShare {
-		after := time.Duration(rand.Float64() * float64(leaveMost))
-		timer := time.AfterFunc(after, func() { once.Do(func() { call.Left = true }); cancel() })
+	if rand.Float64() < disconnectRatio {
+		delay := time.Duration(rand.Float64() * float64(maxDisconnectDelay))
+		timer := time.AfterFunc(delay, func() { once.Do(func() { call.Left = true }); cancel() })
 		defer timer.Stop()
 	}
-	ask := standin.Ask{ID: call.ID, To: g.At, Method: k.Method, Path: k.Path, Body: call.Body, Wait: wait, Key: key(k.Workspace)}
-	reply := ask.Send(ctx, c.client)
-	once.Do(func() {}) // a caller that left later than its answer has not left
+	request := standin.Ask{ID: call.ID, To: g.At, Method: k.Method, Path: k.Path, Body: call.Body, Wait: requestTimeout, Key: key(k.Workspace)}
+	reply := request.Send(ctx, c.client)
+	once.Do(func() {}) // a disconnect after the answer does not count
 	call.Reply, call.Ended = reply, time.Now()
 	if reply.Err == nil {
 		call.Left = false
@@ -176,7 +179,7 @@
 	return call
 }
 
-// One sends a single request on a connection of its own.
+// One sends a single request on its own connection. Like any call, it may be abandoned.
 func One(ctx context.Context, g Gateway, k Kind, id string) Call {
 	transport := &http.Transport{DisableKeepAlives: true, DisableCompression: true}
 	defer transport.CloseIdleConnections()
@@ -184,5 +187,8 @@
 	return c.Call(ctx, g, k)
 }
 
-// Hung says that a call's caller gave up waiting although its time was over.
-func (c Call) Hung() bool { return c.Reply.Err != nil && c.Ended.Sub(c.Sent) >= wait+graceTime }
+// Hung reports whether the caller gave up because no complete answer came within
+// requestTimeout and gracePeriod.
+func (c Call) Hung() bool {
+	return c.Reply.Err != nil && c.Ended.Sub(c.Sent) >= requestTimeout+gracePeriod
+}
