--- a/internal/soak/clocks/clocks.go
+++ b/internal/soak/clocks/clocks.go
@@ -1,8 +1,9 @@
-// Package clocks are those of an instance's machine, which the soak suspends: the
-// steady clock stands still while the process is stopped, and the others go on. The
-// kernel would need rights for that which a soak has not, so a file says for how long,
-// and the process under test reads its clocks through it. Timers of the process go by
-// the kernel's steady clock all the same, and are not late.
+// Package clocks emulates the clocks of a machine that is suspended for a time: the
+// monotonic clock stops during the suspension, and the others continue. Suspending a real
+// machine needs privileges that the soak test does not have. Instead the test stops the
+// process, writes the total time of suspension to a file, and the process reads its clocks
+// through that file. Timers of the process still follow the kernel's monotonic clock and
+// are therefore not late.
 package clocks
 
 import (
@@ -15,22 +16,22 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// Path is the file beside an instance's settings.
+// Path returns the path of the suspension file for an instance's settings file.
 func Path(settings string) string { return settings + ".suspended" }
 
-// Suspend adds to the time for which a machine was suspended. Its process must be
-// stopped, and its file is there from now on.
+// Suspend adds to the total time for which a machine was suspended, and creates the file
+// if it does not exist. The process of the machine must be stopped.
 func Suspend(path string, length time.Duration) error {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return err
 	}
-	total := read(f) + length
-	_, err = f.WriteAt(binary.BigEndian.AppendUint64(nil, uint64(total)), 0)
+	suspended := readSuspended(f) + length
+	_, err = f.WriteAt(binary.BigEndian.AppendUint64(nil, uint64(suspended)), 0)
 	return errors.Join(err, f.Close())
 }
 
-// Open returns the clocks of the machine that the file at path suspends.
+// Open returns the clocks of the machine whose suspension file is at path.
 func Open(path string) (clock.Source, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -38,22 +39,22 @@
 	}
 	machine := clock.Machine()
 	return clock.Source{
-		Read: func() (day, steady time.Duration) {
-			day, steady = machine.Read()
-			return day, steady - read(f)
+		Read: func() (wall, monotonic time.Duration) {
+			wall, monotonic = machine.Read()
+			return wall, monotonic - readSuspended(f)
 		},
 		Asleep: func() (time.Duration, error) {
 			asleep, err := machine.Asleep()
-			return asleep + read(f), err
+			return asleep + readSuspended(f), err
 		},
 	}, nil
 }
 
-// read returns the total so far; an empty file says none.
-func read(f io.ReaderAt) time.Duration {
-	var total [8]byte
-	if _, err := f.ReadAt(total[:], 0); err != nil {
+// readSuspended returns the total time of suspension; an empty file stands for zero.
+func readSuspended(f io.ReaderAt) time.Duration {
+	var data [8]byte
+	if _, err := f.ReadAt(data[:], 0); err != nil {
 		return 0
 	}
-	return time.Duration(binary.BigEndian.Uint64(total[:]))
+	return time.Duration(binary.BigEndian.Uint64(data[:]))
 }
--- a/internal/soak/clocks/clocks_test.go
+++ b/internal/soak/clocks/clocks_test.go
@@ -11,20 +11,21 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// A process whose machine was suspended twice counts that time, and no other.
+// A process counts the time of both suspensions of its machine. A process started later
+// does not count them.
 func TestSuspend(t *testing.T) {
 	c := qt.New(t)
 	path := clocks.Path(filepath.Join(t.TempDir(), "settings"))
 	source, err := clocks.Open(path)
 	c.Assert(err, qt.IsNil)
-	k := clock.Open(source)
-	c.Assert(k.Slept(), qt.Equals, time.Duration(0))
+	first := clock.Open(source)
+	c.Assert(first.Slept(), qt.Equals, time.Duration(0))
 	for range 2 {
 		c.Assert(clocks.Suspend(path, 3*time.Second), qt.IsNil)
-		k.Now()
+		first.Now()
 	}
-	c.Assert(k.Slept().Round(100*time.Millisecond), qt.Equals, 6*time.Second)
-	again, err := clocks.Open(path) // the next process there
+	c.Assert(first.Slept().Round(100*time.Millisecond), qt.Equals, 6*time.Second)
+	later, err := clocks.Open(path) // a process started after the suspensions
 	c.Assert(err, qt.IsNil)
-	c.Assert(clock.Open(again).Slept(), qt.Equals, time.Duration(0))
+	c.Assert(clock.Open(later).Slept(), qt.Equals, time.Duration(0))
 }
