--- a/internal/soak/ether/ether.go
+++ b/internal/soak/ether/ether.go
@@ -1,6 +1,6 @@
-// Package ether is a loopback UDP proxy in front of one process. It tells the
-// senders apart by their addresses, so that the way from one process to another
-// can be cut in one direction, or made to lose datagrams.
+// Package ether is a loopback UDP proxy in front of one process. It uses a separate socket
+// for each sender address, so that traffic between two processes can be cut in one
+// direction only, or made lossy.
 package ether
 
 import (
@@ -11,82 +11,84 @@
 	"sync"
 )
 
-// datagram is the largest that is passed; QUIC stays below.
-const datagram = 2048
+// maxDatagram is the size of the largest datagram that is forwarded; QUIC's are smaller.
+const maxDatagram = 2048
 
-// Loss says which part, from 0 to 1, of the datagrams between two addresses is
-// lost; near is the process behind the proxy, far the other one.
+// Loss returns the fraction, from 0 to 1, of datagrams between two addresses that is to be
+// dropped.
 type Loss func(from, to netip.AddrPort) float64
 
-// Ether passes datagrams to one process and its replies back.
+// Ether forwards datagrams to one process, the target, and its replies back.
 type Ether struct {
 	Address netip.AddrPort
 
-	near   netip.AddrPort
-	loss   Loss
-	front  *net.UDPConn
-	mu     sync.Mutex
-	behind map[netip.AddrPort]*net.UDPConn // by sender: the socket that the process sees
+	target  netip.AddrPort
+	loss    Loss
+	front   *net.UDPConn
+	mu      sync.Mutex
+	sockets map[netip.AddrPort]*net.UDPConn // by sender: the socket connected to the target
 }
 
-// New opens a proxy on address before the process at near.
-func New(address, near netip.AddrPort, loss Loss) (*Ether, error) {
+// New opens a proxy on address for the process at target.
+func New(address, target netip.AddrPort, loss Loss) (*Ether, error) {
 	front, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
 	if err != nil {
 		return nil, err
 	}
-	e := &Ether{Address: address, near: near, loss: loss, front: front, behind: map[netip.AddrPort]*net.UDPConn{}}
+	e := &Ether{Address: address, target: target, loss: loss, front: front, sockets: map[netip.AddrPort]*net.UDPConn{}}
 	go e.forward()
 	return e, nil
 }
 
-// Close ends the proxy.
+// Close closes all sockets of the proxy.
 func (e *Ether) Close() {
 	_ = e.front.Close()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, c := range e.behind {
+	for _, c := range e.sockets {
 		_ = c.Close()
 	}
 }
 
+// forward forwards datagrams to the target until the proxy is closed.
 func (e *Ether) forward() {
-	buffer := make([]byte, datagram)
+	buffer := make([]byte, maxDatagram)
 	for {
-		n, far, err := e.front.ReadFromUDPAddrPort(buffer)
+		n, sender, err := e.front.ReadFromUDPAddrPort(buffer)
 		if err != nil {
 			return // closed
 		}
-		if rand.Float64() < e.loss(far, e.near) {
+		if rand.Float64() < e.loss(sender, e.target) {
 			continue
 		}
-		c, err := e.socket(far)
+		c, err := e.socket(sender)
 		if err != nil {
-			continue // the datagram is lost, as datagrams may be
+			continue // the datagram is dropped, as UDP permits
 		}
-		_, _ = c.Write(buffer[:n]) // the process may be down: lost as well
+		_, _ = c.Write(buffer[:n]) // dropped if the process is down
 	}
 }
 
-func (e *Ether) socket(far netip.AddrPort) (*net.UDPConn, error) {
+// socket returns the socket towards the target for a sender, and opens it if necessary.
+func (e *Ether) socket(sender netip.AddrPort) (*net.UDPConn, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if c := e.behind[far]; c != nil {
+	if c := e.sockets[sender]; c != nil {
 		return c, nil
 	}
-	c, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(e.near))
+	c, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(e.target))
 	if err != nil {
 		return nil, err
 	}
-	e.behind[far] = c
-	go e.back(far, c)
+	e.sockets[sender] = c
+	go e.forwardReplies(sender, c)
 	return c, nil
 }
 
-// back passes a process's replies to one sender. A refused port is no end: the
-// process may come back.
-func (e *Ether) back(far netip.AddrPort, c *net.UDPConn) {
-	buffer := make([]byte, datagram)
+// forwardReplies forwards the target's replies to one sender. It continues after a refused
+// port, since the process may be restarted.
+func (e *Ether) forwardReplies(sender netip.AddrPort, c *net.UDPConn) {
+	buffer := make([]byte, maxDatagram)
 	for {
 		n, err := c.Read(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -95,9 +97,9 @@
 		if err != nil {
 			continue
 		}
-		if rand.Float64() < e.loss(e.near, far) {
+		if rand.Float64() < e.loss(e.target, sender) {
 			continue
 		}
-		_, _ = e.front.WriteToUDPAddrPort(buffer[:n], far) // lost, if it fails
+		_, _ = e.front.WriteToUDPAddrPort(buffer[:n], sender) // dropped on failure
 	}
 }
