--- a/internal/soak/fleet/endpoint.go
+++ b/internal/soak/fleet/endpoint.go
@@ -15,63 +15,65 @@
 )
 
 const (
-	// work and pause are how long an endpoint works before it answers, and
-	// between two events.
-	work  = 20 * time.Millisecond
-	pause = 40 * time.Millisecond
-	// entryLag is how long a crashed endpoint's entry stays: three heartbeats.
-	entryLag = 2500 * time.Millisecond
-	// drainTime is how long a leaving endpoint serves on.
+	// answerDelay is the time before an endpoint's answer, eventInterval that between two
+	// events of a stream.
+	answerDelay   = 20 * time.Millisecond
+	eventInterval = 40 * time.Millisecond
+	// entryDelay is how long a crashed endpoint's entry remains: three heartbeats.
+	entryDelay = 2500 * time.Millisecond
+	// drainTime is how long a leaving endpoint continues to serve.
 	drainTime = 4 * time.Second
-	// announceTime is how long one says in its answers that it leaves before its entry
-	// tells: beyond the users' bound and the slack for a busy machine.
-	announceTime = 6 * time.Second
-	// restAsked is what one that turns all away asks for.
-	restAsked = 4 * time.Second
-	// limitTime is how long one names limits: some windows beyond the time that the
-	// instances have, and the slack for a busy machine.
+	// noticeTime is how long an endpoint announces in its answers that it is leaving before
+	// its entry changes: longer than the users' bound plus the slack for a busy machine.
+	noticeTime = 6 * time.Second
+	// backoffTime is the backoff that an endpoint requests while it rejects everything.
+	backoffTime = 4 * time.Second
+	// limitTime is how long an endpoint names limits: several windows of the check, in
+	// addition to the time that instances have to react and the slack for a busy machine.
 	limitTime = 16 * time.Second
-	// reuseAfter is when the address of an endpoint that is gone may be given
-	// to another one.
-	reuseAfter = 2 * time.Second
+	// reuseDelay is the time after which the address of an ended endpoint may be assigned to
+	// another one.
+	reuseDelay = 2 * time.Second
 )
 
-// endpoint is a stand-in behind a link; the store tells the link's address.
+// endpoint is a stand-in behind a link; its entry in the store has the link's address.
 type endpoint struct {
 	*standin.Endpoint
 	link *link.Link
 }
 
-func well() standin.Behaviour {
-	return standin.Behaviour{Delay: work, Pause: pause, CrashOn: caller.PoisonMark}
+// normalBehaviour returns the behaviour of an endpoint that answers correctly and crashes
+// only on poisoned requests.
+func normalBehaviour() standin.Behaviour {
+	return standin.Behaviour{Delay: answerDelay, Pause: eventInterval, CrashOn: caller.PoisonMark}
 }
 
-// addEndpoint starts an endpoint and registers it; stage is empty for the plain
+// addEndpoint starts an endpoint and registers it. An empty stage selects the plain
 // service.
 func (f *Fleet) addEndpoint(zone, stage string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.made++
+	f.created++
 	service := "llm"
 	if stage == "" {
 		service = "web"
 	}
-	e := &endpoint{Endpoint: standin.NewEndpoint(fmt.Sprintf("%s-%s-%d", service, zone, f.made), service, zone, stage)}
-	e.Behave(well())
+	e := &endpoint{Endpoint: standin.NewEndpoint(fmt.Sprintf("%s-%s-%d", service, zone, f.created), service, zone, stage)}
+	e.Behave(normalBehaviour())
 	var err error
 	if e.link, err = link.New(e.Address); err != nil {
 		return err
 	}
 	e.Shown = e.link.Address
-	e.OnCrash = func() { f.poisoned(e) }
+	e.OnCrash = func() { f.handlePoison(e) }
 	f.endpoints = append(f.endpoints, e)
 	e.Register(f.store, "ready")
 	return nil
 }
 
-// drop takes an endpoint out of the listing and starts one in its place. Of two
-// steps that strike the same endpoint, the first one does.
-func (f *Fleet) drop(e *endpoint) error {
+// replace removes an endpoint from the current ones and starts another in its place. If two
+// steps end the same endpoint, only the first call has an effect.
+func (f *Fleet) replace(e *endpoint) error {
 	f.mu.Lock()
 	n := slices.Index(f.endpoints, e)
 	if n < 0 {
@@ -79,18 +81,20 @@
 		return nil
 	}
 	f.endpoints = slices.Delete(slices.Clone(f.endpoints), n, n+1)
-	f.ended = append(f.ended, e)
+	f.replaced = append(f.replaced, e)
 	f.mu.Unlock()
 	return f.addEndpoint(e.Zone, e.Stage)
 }
 
+// endpoint returns the n-th current endpoint, modulo their number.
 func (f *Fleet) endpoint(n int) *endpoint {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.endpoints[n%len(f.endpoints)]
 }
 
-// endpointFor returns an endpoint to which a behaviour makes a difference.
+// endpointFor returns the first endpoint, from the n-th on, on which a behaviour has an
+// effect.
 func (f *Fleet) endpointFor(n int, b standin.Behaviour) *endpoint {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -105,10 +109,10 @@
 	return f.endpoints[n%len(f.endpoints)]
 }
 
-// arrivals is what all endpoints saw so far.
+// arrivals returns all requests that endpoints have received so far.
 func (f *Fleet) arrivals() []checker.Run {
 	f.mu.Lock()
-	all := append(append([]*endpoint(nil), f.endpoints...), f.ended...)
+	all := append(append([]*endpoint(nil), f.endpoints...), f.replaced...)
 	f.mu.Unlock()
 	var runs []checker.Run
 	for _, e := range all {
@@ -119,39 +123,39 @@
 	return runs
 }
 
-// crash ends an endpoint without a word; its entry goes later, its place is
-// taken by another one, and its address may be given to another service.
+// crash ends an endpoint without announcement. Its entry is removed later, another endpoint
+// replaces it, and with reuse its address is assigned to an endpoint of another service.
 func (f *Fleet) crash(ctx context.Context, e *endpoint, length time.Duration, reuse bool) error {
 	end := f.faults.Begin(timeline.Endpoint, e.ID, "crash")
 	defer end()
 	e.link.Set(link.Refused)
 	e.link.Reset()
 	e.Close()
-	sleep(ctx, entryLag)
+	sleep(ctx, entryDelay)
 	e.Leave(f.store)
 	if reuse {
-		sleep(ctx, reuseAfter-entryLag)
-		e.link.Aim(f.other(e.Service).Address)
+		sleep(ctx, reuseDelay-entryDelay)
+		e.link.Aim(f.ofOtherService(e.Service).Address)
 		e.link.Set(link.Clean)
 	}
 	sleep(ctx, length)
-	return f.drop(e)
+	return f.replace(e)
 }
 
-// poisoned takes that a request has ended an endpoint: what is left is as after any
-// other crash.
-func (f *Fleet) poisoned(e *endpoint) {
+// handlePoison completes the crash of an endpoint by a poisoned request, as for any other
+// crash.
+func (f *Fleet) handlePoison(e *endpoint) {
 	e.link.Set(link.Refused)
 	e.link.Reset()
 	f.steps.Go(func() {
 		if err := f.crash(context.Background(), e, 0, false); err != nil {
-			_, _ = fmt.Fprintf(os.Stderr, "seed %d: an engine in the place of %s: %v\n", f.Seed, e.ID, err)
+			_, _ = fmt.Fprintf(os.Stderr, "seed %d: replace crashed engine %s: %v\n", f.Seed, e.ID, err)
 		}
 	})
 }
 
-// other is an endpoint of another service.
-func (f *Fleet) other(service string) *endpoint {
+// ofOtherService returns an endpoint of another service.
+func (f *Fleet) ofOtherService(service string) *endpoint {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, e := range f.endpoints {
@@ -162,10 +166,10 @@
 	return f.endpoints[0]
 }
 
-// retire has an endpoint leave: it says so first unless it vanishes, serves on
-// for a time, and ends.
+// retire makes an endpoint leave: its entry is marked as draining or, with vanish, removed;
+// the endpoint continues to serve for drainTime, then ends.
 func (f *Fleet) retire(ctx context.Context, e *endpoint, vanish bool) error {
-	if err := f.drop(e); err != nil {
+	if err := f.replace(e); err != nil {
 		return err
 	}
 	if vanish {
@@ -183,59 +187,61 @@
 	return nil
 }
 
-// announce has an endpoint leave that says so in its answers for a time before its entry
-// tells, or goes.
+// announce makes an endpoint announce in its answers that it is leaving, and retires it
+// after noticeTime.
 func (f *Fleet) announce(ctx context.Context, e *endpoint, vanish bool) error {
 	e.SayLeaving()
-	sleep(ctx, announceTime)
+	sleep(ctx, noticeTime)
 	return f.retire(ctx, e, vanish)
 }
 
-// rest has an endpoint turn all away and ask for rest, again and again.
-func (f *Fleet) rest(ctx context.Context, e *endpoint) {
-	b := well()
-	b.Full, b.Rest = true, restAsked
+// backOff makes an endpoint reject all requests and ask for a backoff each time.
+func (f *Fleet) backOff(ctx context.Context, e *endpoint) {
+	b := normalBehaviour()
+	b.Full, b.Rest = true, backoffTime
 	end := f.faults.Begin(timeline.Load, e.ID, "rests")
 	defer end()
 	e.Behave(b)
-	sleep(ctx, 2*restAsked)
-	e.Behave(well())
-	sleep(ctx, restAsked)
+	sleep(ctx, 2*backoffTime)
+	e.Behave(normalBehaviour())
+	sleep(ctx, backoffTime)
 }
 
-// limits are what endpoints take, in requests a second; nearly ten come to each.
+// limits are the limits that endpoints name, in requests a second; without a limit an
+// endpoint gets nearly ten.
 var limits = []string{"0", "0.5", "1", "2", "4.2"}
 
-// limit has an endpoint name how many requests a second it takes, and another number
-// half-way.
-func (f *Fleet) limit(ctx context.Context, e *endpoint, how int) {
-	b := well()
+// limit makes an endpoint name a limit in its answers, and another one in the second half
+// of the time.
+func (f *Fleet) limit(ctx context.Context, e *endpoint, variant int) {
+	b := normalBehaviour()
 	for n := range 2 {
-		b.Limit = limits[(how+n)%len(limits)]
+		b.Limit = limits[(variant+n)%len(limits)]
 		e.Behave(b)
 		sleep(ctx, limitTime/2)
 	}
-	e.Behave(well())
+	e.Behave(normalBehaviour())
 }
 
-// chill has an endpoint be cold, until some time after all must know of it.
-func (f *Fleet) chill(ctx context.Context, e *endpoint, length time.Duration) {
+// makeCold makes an endpoint cold until some time after all instances must know of it.
+func (f *Fleet) makeCold(ctx context.Context, e *endpoint, length time.Duration) {
 	if !f.claim(e.ID) {
 		return
 	}
 	defer f.release(e.ID)
-	length += changeTime
-	if !f.writeCold(e, length) {
+	length += minChangeTime
+	if !f.registerCold(e, length) {
 		return
 	}
 	end := f.checker.Cold(e.ID)
 	sleep(ctx, length)
 	end()
-	f.writeCold(e, 0)
+	f.registerCold(e, 0)
 }
 
-// writeCold has an endpoint's entry tell for how long it is cold, unless it has left.
-func (f *Fleet) writeCold(e *endpoint, length time.Duration) bool {
+// registerCold registers for how long an endpoint is cold, unless it has been replaced.
+// It reports whether the entry was written.
+func (f *Fleet) registerCold(e *endpoint, length time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !slices.Contains(f.endpoints, e) {
@@ -246,7 +252,7 @@
 	return true
 }
 
-// ways in which an endpoint may answer badly.
+// misbehaviours returns the ways in which an endpoint may answer incorrectly or slowly.
 func misbehaviours() []standin.Behaviour {
 	list := []standin.Behaviour{
 		{Hang: true},
@@ -265,7 +271,7 @@
 		{Status: 500, Share: 0.4},
 	}
 	for i := range list {
-		list[i].Delay, list[i].Pause = work, pause
+		list[i].Delay, list[i].Pause = answerDelay, eventInterval
 	}
-	return append(list, standin.Behaviour{Delay: 40 * work, Pause: 10 * pause})
+	return append(list, standin.Behaviour{Delay: 40 * answerDelay, Pause: 10 * eventInterval})
 }
--- a/internal/soak/fleet/fleet.go
+++ b/internal/soak/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet plays one run of the soak: real gateway processes before
-// stand-ins of the platform, callers, and the steps of a schedule.
+// Package fleet executes one run of the soak test: it starts real gateway processes with
+// stand-ins of the platform and callers, and carries out the steps of a schedule.
 package fleet
 
 import (
@@ -21,63 +21,66 @@
 	"github.com/trailshed/trailshed/platform/standin"
 )
 
-// Options are those of one run.
+// Options configure one run.
 type Options struct {
 	Program string // the trailshed binary
 	Dir     string // for settings and logs
 	Seed    uint64
 	Length  time.Duration // of the part with faults
-	// Network is the loopback /24 whose addresses the instances use.
+	// Network is the loopback /24 network from which the instances get their addresses.
 	Network netip.Addr
 	Zones   []string
-	PerZone int // instances
+	PerZone int // instances in each zone
 	Callers int
-	Timed   bool          // check bounds on time too
-	Only    schedule.Kind // of all steps; empty: all kinds
-	More    bool          // with the steps that came beside the others later
+	Timed   bool          // also check time bounds
+	Only    schedule.Kind // the only kind of steps; empty for all kinds
+	More    bool          // add the steps of schedule.More
 }
 
 const (
-	// callerGap is the mean pause between two requests of a caller.
-	callerGap = 150 * time.Millisecond
-	// patience bounds the start of a fleet and its recovery at the end; the
-	// operators' bound of 12 s is for machines that are not busy.
-	patience = 30 * time.Second
-	// checkEvery is how often everything seen so far is judged.
-	checkEvery = 2 * time.Second
-	// probeEvery and probeFor say how instances are asked for a new route.
-	probeEvery = 400 * time.Millisecond
-	probeFor   = 5 * time.Second
-	// addedShare of the requests go to routes that were added.
-	addedShare = 0.12
-	// homeShare of them may be served in the first zone only.
-	homeShare = 0.08
-	// coldRate is what a cold endpoint takes, in requests a second; some ten come to each.
+	// callerPause is the mean pause between two requests of a caller.
+	callerPause = 150 * time.Millisecond
+	// waitTimeout bounds the start of a fleet, its recovery at the end and the exit of
+	// killed processes. It is longer than the operators' bound of 12 s, which is for
+	// machines that are not busy.
+	waitTimeout = 30 * time.Second
+	// checkInterval is the interval at which all observations so far are checked.
+	checkInterval = 2 * time.Second
+	// Requests for a new route are sent to all instances every probeInterval for
+	// probeDuration.
+	probeInterval = 400 * time.Millisecond
+	probeDuration = 5 * time.Second
+	// addedRatio is the fraction of requests that go to routes added during the run.
+	addedRatio = 0.12
+	// homeRatio is the fraction of the other requests that only the first zone may serve.
+	homeRatio = 0.08
+	// coldRate is the number of requests a second that a cold endpoint accepts; without a
+	// limit an endpoint gets about ten.
 	coldRate = 1
-	// settle is left at the end for bounds on time to pass.
-	settle = 3 * time.Second
+	// settleTime is the time at the end of a run in which time bounds can expire.
+	settleTime = 3 * time.Second
 )
 
-// Fleet is one run.
+// Fleet holds the state of one run.
 type Fleet struct {
 	Options
-	store   *standin.Store
-	faults  *timeline.Timeline
-	checker *checker.Checker
-	next    atomic.Int64 // number of the next request
-	steps   sync.WaitGroup
+	store       *standin.Store
+	faults      *timeline.Timeline
+	checker     *checker.Checker
+	lastRequest atomic.Int64 // number of the last request
+	steps       sync.WaitGroup
 
 	mu        sync.Mutex
 	instances []*instance
-	endpoints []*endpoint // of the store's listing
-	ended     []*endpoint // they served before
+	endpoints []*endpoint // those not replaced
+	replaced  []*endpoint // those that crashed or left, or are leaving
 	routes    []standin.Route
 	version   int
 	claimed   map[string]bool // zones and endpoints, see claim
-	made      int             // endpoints so far, those that ended included
+	created   int             // number of endpoints created, including replaced ones
 }
 
-// Result is what a run came to.
+// Result is the result of a run.
 type Result struct {
 	Seed       uint64
 	Violations []checker.Violation
@@ -86,7 +89,7 @@
 	Faults     *timeline.Timeline
 }
 
-// Run plays one run to its end.
+// Run executes one run. The error is that of starting the fleet or of its recovery.
 func Run(ctx context.Context, o Options) (Result, error) {
 	f := &Fleet{Options: o, store: standin.NewStore(), faults: &timeline.Timeline{}, claimed: map[string]bool{}}
 	home := caller.Home(o.Zones[0])
@@ -95,16 +98,17 @@
 	f.routes = []standin.Route{route}
 	f.checker = checker.New(bounds(o.Timed), f.faults, f.arrivals)
 	defer f.close()
-	if err := f.open(); err != nil {
+	if err := f.start(); err != nil {
 		return Result{}, err
 	}
 	steps := f.schedule()
-	err := f.play(ctx, steps)
+	err := f.run(ctx, steps)
 	r := Result{Seed: o.Seed, Violations: f.checker.Check(true), Steps: len(steps), Faults: f.faults}
 	r.Good, r.All = f.checker.Served()
 	return r, err
 }
 
+// schedule returns the steps of the run.
 func (f *Fleet) schedule() []schedule.Step {
 	if schedule.IsBeside(f.Only) {
 		return slices.DeleteFunc(schedule.More(f.Seed, f.Length), func(s schedule.Step) bool { return s.Kind != f.Only })
@@ -121,14 +125,14 @@
 		Contact: 3 * time.Second, Drain: 2 * time.Second, Config: 2 * time.Second, Outer: 5 * time.Second,
 		Gone: 500 * time.Millisecond, Slack: 1500 * time.Millisecond,
 		Ratio: retryRatio, Extra: retrySlack, Window: retryWindow, Timed: timed,
-		// Instances that are alone, and those that have just begun, may add some.
+		// Partitioned instances and those that have just started may exceed the limit.
 		LimitRate: caller.LimitRate, LimitBurst: caller.LimitBurst, LimitSlack: 30, LimitWindow: 8 * time.Second,
 		ColdRate: coldRate,
 	}
 }
 
-// open starts stand-ins and instances and waits until all are ready.
-func (f *Fleet) open() error {
+// start starts the stand-ins and the instances and waits until all instances serve.
+func (f *Fleet) start() error {
 	f.configure()
 	for _, zone := range f.Zones {
 		for _, stage := range []string{"", "prefill", "decode", "decode"} {
@@ -149,64 +153,65 @@
 			return err
 		}
 	}
-	return f.allServe()
+	return f.waitReady()
 }
 
-// play lets callers call while the steps are taken, then waits for recovery.
-func (f *Fleet) play(ctx context.Context, steps []schedule.Step) error {
-	calling, stopCalling := context.WithCancel(ctx)
+// run runs the callers and the steps, then waits until the fleet has recovered.
+func (f *Fleet) run(ctx context.Context, steps []schedule.Step) error {
+	callCtx, stopCalls := context.WithCancel(ctx)
 	var group sync.WaitGroup
 	for range f.Callers {
-		c := &caller.Caller{Pick: f.pick, Kind: f.kind, Done: f.checker.Called, Next: f.id}
-		group.Go(func() { c.Run(calling, callerGap) })
+		c := &caller.Caller{Pick: f.pickInstance, Kind: f.nextKind, Done: f.checker.Called, Next: f.nextID}
+		group.Go(func() { c.Run(callCtx, callerPause) })
 	}
-	group.Go(func() { f.balance(calling) })
-	group.Go(func() { f.judge(calling) })
-	faulty, healAll := context.WithTimeout(ctx, f.Length)
+	group.Go(func() { f.balance(callCtx) })
+	group.Go(func() { f.checkPeriodically(callCtx) })
+	faultCtx, endFaults := context.WithTimeout(ctx, f.Length)
 	started := time.Now()
 	for _, s := range steps {
-		if !sleep(faulty, s.At-time.Since(started)) {
+		if !sleep(faultCtx, s.At-time.Since(started)) {
 			break
 		}
-		f.steps.Go(func() { f.take(faulty, s) })
+		f.steps.Go(func() { f.runStep(faultCtx, s) })
 	}
-	<-faulty.Done()
-	f.steps.Wait() // each heals what it did
-	healAll()
-	err := f.allServe()
-	sleep(ctx, settle)
-	stopCalling()
+	<-faultCtx.Done()
+	f.steps.Wait() // each step ends the fault that it began
+	endFaults()
+	err := f.waitReady()
+	sleep(ctx, settleTime)
+	stopCalls()
 	group.Wait()
 	return err
 }
 
-// judge checks everything every now and then.
-func (f *Fleet) judge(ctx context.Context) {
-	for sleep(ctx, checkEvery) {
+// checkPeriodically checks all observations every checkInterval until ctx ends.
+func (f *Fleet) checkPeriodically(ctx context.Context) {
+	for sleep(ctx, checkInterval) {
 		f.checker.Check(false)
 	}
 }
 
-func (f *Fleet) id() string { return fmt.Sprintf("s%d-%d", f.Seed, f.next.Add(1)) }
+// nextID returns a new request ID.
+func (f *Fleet) nextID() string { return fmt.Sprintf("s%d-%d", f.Seed, f.lastRequest.Add(1)) }
 
-// kind draws the kind of the next request.
-func (f *Fleet) kind() caller.Kind {
+// nextKind draws the kind of the next request.
+func (f *Fleet) nextKind() caller.Kind {
 	f.mu.Lock()
 	version := f.version
 	f.mu.Unlock()
-	if version > 1 && rand.Float64() < addedShare {
+	if version > 1 && rand.Float64() < addedRatio {
 		return caller.Added(2 + rand.IntN(version-1))
 	}
-	if rand.Float64() < homeShare {
+	if rand.Float64() < homeRatio {
 		return caller.Home(f.Zones[0])
 	}
 	kinds := caller.Kinds()
 	return kinds[rand.IntN(len(kinds))]
 }
 
-// allServe waits until each instance has served each kind of request, some
-// instances at a time.
-func (f *Fleet) allServe() error {
+// waitReady waits until each instance has served each kind of request. It probes up to
+// maxParallelProbes instances at a time.
+func (f *Fleet) waitReady() error {
 	kinds := append(caller.Kinds(), caller.Home(f.Zones[0]))
 	f.mu.Lock()
 	if f.version > 1 {
@@ -214,13 +219,13 @@
 	}
 	instances := f.instances
 	f.mu.Unlock()
-	turns := make(chan struct{}, askedAtOnce)
+	slots := make(chan struct{}, maxParallelProbes)
 	failures := make(chan error, len(instances))
 	for _, i := range instances {
-		turns <- struct{}{}
+		slots <- struct{}{}
 		go func() {
-			defer func() { <-turns }()
-			failures <- f.serves(i, kinds)
+			defer func() { <-slots }()
+			failures <- f.waitServing(i, kinds)
 		}()
 	}
 	var first error
@@ -232,33 +237,33 @@
 	return first
 }
 
-// askedAtOnce is how many instances allServe asks at a time: fewer than the
-// stand-ins' engines have slots.
-const askedAtOnce = 8
+// maxParallelProbes is how many instances waitReady probes at a time. It is less than the
+// number of slots of the stand-ins' engines, so that probes do not fill them.
+const maxParallelProbes = 8
 
-// serves waits until one instance has served each kind of request.
-func (f *Fleet) serves(i *instance, kinds []caller.Kind) error {
-	deadline := time.Now().Add(patience)
+// waitServing waits until one instance has served each kind of request.
+func (f *Fleet) waitServing(i *instance, kinds []caller.Kind) error {
+	deadline := time.Now().Add(waitTimeout)
 	for _, k := range kinds {
 		if strings.HasSuffix(k.Path, standin.LongPath) {
-			continue // the same way as its kin, and seconds each
+			continue // served like the other kinds of its service, but takes seconds
 		}
 		for {
-			call := caller.One(context.Background(), i.gateway(), k, f.id())
+			call := caller.One(context.Background(), i.gateway(), k, f.nextID())
 			f.checker.Called(call)
 			if call.Reply.Err == nil && call.Reply.Status == 200 {
 				break
 			}
 			if time.Now().After(deadline) {
-				return fmt.Errorf("%s does not serve %s within %s: status %d, %w", i.name, k.Path, patience, call.Reply.Status, errOr(call.Reply.Err))
+				return fmt.Errorf("%s does not serve %s within %s: status %d, %w", i.name, k.Path, waitTimeout, call.Reply.Status, errOr(call.Reply.Err))
 			}
-			time.Sleep(probeEvery / 4)
+			time.Sleep(probeInterval / 4)
 		}
 	}
 	return nil
 }
 
-// configure writes the next configuration, with a route of its own.
+// configure stores the next configuration, which adds a route.
 func (f *Fleet) configure() {
 	f.mu.Lock()
 	f.version++
@@ -273,38 +278,39 @@
 	f.checker.Configured(version)
 }
 
-// probe asks all instances for the route of a version for a while.
+// probe sends requests for the route of a version to all instances that are in rotation.
 func (f *Fleet) probe(ctx context.Context, version int) {
-	for until := time.Now().Add(probeFor); time.Now().Before(until) && sleep(ctx, probeEvery); {
-		for _, i := range f.all() {
-			if i.in.Load() {
-				f.checker.Called(caller.One(ctx, i.gateway(), caller.Added(version), f.id()))
+	for until := time.Now().Add(probeDuration); time.Now().Before(until) && sleep(ctx, probeInterval); {
+		for _, i := range f.allInstances() {
+			if i.inRotation.Load() {
+				f.checker.Called(caller.One(ctx, i.gateway(), caller.Added(version), f.nextID()))
 			}
 		}
 	}
 }
 
-func (f *Fleet) all() []*instance {
+// allInstances returns the instances of all zones.
+func (f *Fleet) allInstances() []*instance {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.instances
 }
 
-// close ends everything that this run started.
+// close ends all processes and stand-ins of the run.
 func (f *Fleet) close() {
 	for _, i := range f.instances {
 		i.close()
 	}
-	for _, e := range append(f.endpoints, f.ended...) {
+	for _, e := range append(f.endpoints, f.replaced...) {
 		e.link.Close()
 		e.Close()
 	}
 }
 
-// LogDir is where a run's logs are.
+// LogDir returns the directory of the run's settings and logs.
 func (o Options) LogDir() string { return filepath.Join(o.Dir, fmt.Sprintf("seed-%d", o.Seed)) }
 
-// sleep waits and says whether ctx lasted.
+// sleep waits for d or until ctx ends, and reports whether ctx is still valid.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -314,6 +320,7 @@
 	}
 }
 
+// errOr returns err, or errNoSuccess if it is nil.
 func errOr(err error) error {
 	if err != nil {
 		return err
--- a/internal/soak/fleet/instance.go
+++ b/internal/soak/fleet/instance.go
@@ -25,49 +25,51 @@
 
 var errNoSuccess = errors.New("no success")
 
-// Ports of an instance, on an address of its own.
+// Ports of an instance; each instance has its own address.
 const (
-	portCallers = 8149
-	portReady   = 8141
-	portAdmin   = 9464
-	portPeers   = 7380
-	portShown   = 7381 // of the proxy before portPeers
+	portCallers    = 8149
+	portReady      = 8141
+	portAdmin      = 9464
+	portPeers      = 7380
+	portAdvertised = 7381 // of the proxy in front of portPeers
 )
 
-// The retry budget of the whole fleet, as the settings tell it: tight, so that
-// it is used up.
+// The retry budget in the settings, shared by the whole fleet. It is small so that runs
+// exhaust it.
 const (
 	retryRatio  = 0.05
 	retrySlack  = 8
 	retryWindow = 10 * time.Second
-	// grace is the platform's. What is taken on up to 35 % of it after SIGTERM
-	// must fit into the rest, also the stand-ins' longest work, 3.3 s.
+	// grace is the platform's grace period. Requests are accepted for up to 35 % of it
+	// after SIGTERM and must complete in the remaining time, including the stand-ins'
+	// longest answer, which takes 3.3 s.
 	grace = 8 * time.Second
 )
 
-// The balancer asks each instance every askEvery and takes it out after two
-// misses.
-const askEvery = 300 * time.Millisecond
+// healthInterval is the interval of the balancer's readiness checks. Two failed checks in
+// a row remove an instance from the rotation.
+const healthInterval = 300 * time.Millisecond
 
 // instance is one gateway process with the proxies around it.
 type instance struct {
 	name, zone string
-	regions    string // of all zones, as the settings have them
+	regions    string // regions of all zones, in the format of the settings
 	ip         netip.Addr
 	program    *program.Program
-	door       *standin.Door // its way to the store
-	doorLink   *link.Link    // before the door
-	ether      *ether.Ether  // before its peers' port
-	in         atomic.Bool   // the balancer has it in
-
-	mu   sync.Mutex
-	deaf float64 // part of the datagrams to it that is lost
-	mute float64 // part of those from it
+	door       *standin.Door // its access to the store
+	doorLink   *link.Link    // in front of the door
+	ether      *ether.Ether  // in front of its port for peers
+	inRotation atomic.Bool   // the balancer sends it requests
+
+	mu           sync.Mutex
+	inboundLoss  float64 // fraction of the datagrams to it that is dropped
+	outboundLoss float64 // fraction of the datagrams from it that is dropped
 }
 
-// region is that of a zone; each has its own.
+// region returns the region of a zone; each zone has its own.
 func region(zone string) string { return "region-of-" + zone }
 
+// regions returns the regions of zones in the format of the settings.
 func regions(zones []string) string {
 	var list []string
 	for _, zone := range zones {
@@ -76,12 +78,13 @@
 	return strings.Join(list, ", ")
 }
 
-func (i *instance) at(port uint16) netip.AddrPort { return netip.AddrPortFrom(i.ip, port) }
+func (i *instance) addr(port uint16) netip.AddrPort { return netip.AddrPortFrom(i.ip, port) }
 
 func (i *instance) gateway() caller.Gateway {
-	return caller.Gateway{Name: i.name, Life: i.program.Life(), At: i.at(portCallers)}
+	return caller.Gateway{Name: i.name, Life: i.program.Life(), At: i.addr(portCallers)}
 }
 
+// addInstance prepares an instance with its proxies, without starting the process.
 func (f *Fleet) addInstance(zone string, n int) error {
 	address := f.Network.As4()
 	address[3] = byte(10 + len(f.instances))
@@ -90,7 +93,7 @@
 	if i.doorLink, err = link.New(i.door.Address); err != nil {
 		return err
 	}
-	if i.ether, err = ether.New(i.at(portShown), i.at(portPeers), f.loss); err != nil {
+	if i.ether, err = ether.New(i.addr(portAdvertised), i.addr(portPeers), f.loss); err != nil {
 		return err
 	}
 	dir := f.LogDir()
@@ -105,6 +108,7 @@
 	return i.writeSettings(grace)
 }
 
+// writeSettings writes the settings file with a grace period.
 func (i *instance) writeSettings(grace time.Duration) error {
 	text := fmt.Sprintf(`instance: {name: %s, zone: %s}
 zones: {%s}
@@ -116,79 +120,82 @@
 stop: {grace: %s}
 orders: {gap: 3s}
 memory: {limit_mb: 128}
-`, i.name, i.zone, i.regions, i.at(portCallers), i.at(portReady), i.at(portPeers), i.at(portShown), i.at(portAdmin),
+`, i.name, i.zone, i.regions, i.addr(portCallers), i.addr(portReady), i.addr(portPeers), i.addr(portAdvertised), i.addr(portAdmin),
 		i.doorLink.Address, retryRatio, retrySlack, retryWindow, grace)
 	return os.WriteFile(i.program.Settings, []byte(text), 0o600)
 }
 
-// loss is what is lost between two addresses of peers' ports.
+// loss returns the fraction of datagrams to drop between the peer addresses of two
+// instances.
 func (f *Fleet) loss(from, to netip.AddrPort) float64 {
-	lost := 0.0
+	fraction := 0.0
 	for _, i := range f.instances {
 		i.mu.Lock()
 		switch i.ip {
 		case from.Addr():
-			lost = max(lost, i.mute)
+			fraction = max(fraction, i.outboundLoss)
 		case to.Addr():
-			lost = max(lost, i.deaf)
+			fraction = max(fraction, i.inboundLoss)
 		}
 		i.mu.Unlock()
 	}
-	return lost
+	return fraction
 }
 
-// lose sets which part of the datagrams from and to an instance is lost.
-func (i *instance) lose(mute, deaf float64) {
+// setLoss sets the fractions of datagrams from and to an instance that are dropped.
+func (i *instance) setLoss(outbound, inbound float64) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.mute, i.deaf = mute, deaf
+	i.outboundLoss, i.inboundLoss = outbound, inbound
 }
 
-// close ends the process: by SIGKILL, since the run is over.
+// close ends the process, by SIGKILL since the run is over, and closes the proxies.
 func (i *instance) close() {
-	program.Over(i.program.Signal(syscall.SIGKILL), patience)
+	program.Over(i.program.Signal(syscall.SIGKILL), waitTimeout)
 	i.ether.Close()
 	i.doorLink.Close()
 	i.door.Close()
 }
 
-// balance asks the instances whether they are ready until ctx ends.
+// balance checks the readiness of all instances until ctx ends, and adds them to the
+// rotation or removes them from it.
 func (f *Fleet) balance(ctx context.Context) {
-	client := &http.Client{Timeout: askEvery, Transport: &http.Transport{DisableKeepAlives: true}}
-	missed := map[string]int{}
-	for sleep(ctx, askEvery) {
-		for _, i := range f.all() {
-			if i.answersReady(ctx, client) {
-				missed[i.name] = 0
-				i.in.Store(true)
+	client := &http.Client{Timeout: healthInterval, Transport: &http.Transport{DisableKeepAlives: true}}
+	failures := map[string]int{}
+	for sleep(ctx, healthInterval) {
+		for _, i := range f.allInstances() {
+			if i.isReady(ctx, client) {
+				failures[i.name] = 0
+				i.inRotation.Store(true)
 				continue
 			}
-			if missed[i.name]++; missed[i.name] >= 2 {
-				i.in.Store(false)
+			if failures[i.name]++; failures[i.name] >= 2 {
+				i.inRotation.Store(false)
 			}
 		}
 	}
 }
 
-func (i *instance) answersReady(ctx context.Context, c *http.Client) bool {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+i.at(portReady).String()+platform.ReadyPath, nil)
+// isReady reports whether an instance's readiness check succeeds.
+func (i *instance) isReady(ctx context.Context, c *http.Client) bool {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+i.addr(portReady).String()+platform.ReadyPath, nil)
 	if err != nil {
 		return false
 	}
 	resp, err := c.Do(req)
 	if err != nil {
-		return false // a miss, whatever the reason
+		return false // any error is a failed check
 	}
 	_ = resp.Body.Close()
 	return resp.StatusCode == http.StatusOK
 }
 
-// pick draws an instance that the balancer has in.
-func (f *Fleet) pick() (caller.Gateway, bool) {
-	all := f.all()
-	from := rand.IntN(len(all))
+// pickInstance draws an instance in rotation; false if there is none.
+func (f *Fleet) pickInstance() (caller.Gateway, bool) {
+	all := f.allInstances()
+	start := rand.IntN(len(all))
 	for n := range all {
-		if i := all[(from+n)%len(all)]; i.in.Load() {
+		if i := all[(start+n)%len(all)]; i.inRotation.Load() {
 			return i.gateway(), true
 		}
 	}
--- a/internal/soak/fleet/steps.go
+++ b/internal/soak/fleet/steps.go
@@ -18,34 +18,37 @@
 )
 
 const (
-	// poisonPause is between two tries of a request that ends engines.
-	poisonPause = 250 * time.Millisecond
-	// poisonAfter is for how long it comes beyond its step: twice what instances have
-	// to know of it, and some.
-	poisonAfter = 8 * time.Second
+	// poisonInterval is the interval between two calls of a request that crashes engines.
+	poisonInterval = 250 * time.Millisecond
+	// poisonOverrun is how long such a request is repeated after the end of its step: more
+	// than twice the time within which instances must know of it.
+	poisonOverrun = 8 * time.Second
 )
 
-// changeTime is the least time that a zone is evacuated or an endpoint cold: the bound, the
-// slack for a busy machine, and a while with requests.
-const changeTime = 6 * time.Second
+// minChangeTime is the minimum time for which a zone is evacuated or an endpoint is cold:
+// the bound for instances to act on it, the slack for a busy machine, and some time with
+// requests after that.
+const minChangeTime = 6 * time.Second
 
-// aftermath is how long a fault still excuses an instance that it struck.
-const aftermath = time.Second
+// recoveryTime is how long after its end a fault still exempts the affected instance or
+// endpoint from bounds.
+const recoveryTime = time.Second
 
-// take takes one step and undoes it when its time is over.
-func (f *Fleet) take(ctx context.Context, s schedule.Step) {
-	if err := f.strike(ctx, s); err != nil {
+// runStep carries out one step and undoes it after its duration.
+func (f *Fleet) runStep(ctx context.Context, s schedule.Step) {
+	if err := f.apply(ctx, s); err != nil {
 		_, _ = fmt.Fprintf(os.Stderr, "seed %d: %s: %v\n", f.Seed, s.Kind, err)
 	}
 }
 
-func (f *Fleet) strike(ctx context.Context, s schedule.Step) error {
-	all := f.all()
+// apply dispatches a step by its kind.
+func (f *Fleet) apply(ctx context.Context, s schedule.Step) error {
+	all := f.allInstances()
 	i := all[s.Target%len(all)]
 	switch s.Kind {
 	case schedule.Suspend, schedule.Poison, schedule.Announce, schedule.Rest, schedule.Limit,
 		schedule.Evacuate, schedule.Chill:
-		return f.strikeBeside(ctx, s, i)
+		return f.applyExtra(ctx, s, i)
 	case schedule.Kill:
 		return f.kill(ctx, s.For, i)
 	case schedule.KillAll:
@@ -57,19 +60,19 @@
 	case schedule.Roll:
 		return f.roll(ctx, f.Zones[s.Target%len(f.Zones)])
 	case schedule.Hangup:
-		return f.hangup(i, s.How%2 == 0)
+		return f.changeSettings(i, s.How%2 == 0)
 	case schedule.PeersCut, schedule.PeersOneWay, schedule.PeersLossy, schedule.ZoneCut:
-		f.harmPeers(ctx, s, i)
+		f.disruptPeers(ctx, s, i)
 	case schedule.DoorFault:
-		f.harmDoors(ctx, s, timeline.Door, i)
+		f.disruptStoreAccess(ctx, s, timeline.Door, i)
 	case schedule.StoreFault:
-		f.harmDoors(ctx, s, timeline.Store, all...)
+		f.disruptStoreAccess(ctx, s, timeline.Store, all...)
 	case schedule.StoreSlow:
-		f.slowStore(ctx, s.For)
+		f.delayStore(ctx, s.For)
 	case schedule.StoreForget:
 		f.store.Forget()
 	case schedule.Lapse:
-		f.lapse(ctx, s.For)
+		f.expireEntries(ctx, s.For)
 	case schedule.Crash, schedule.Reuse:
 		return f.crash(ctx, f.endpoint(s.Target), s.For, s.Kind == schedule.Reuse)
 	case schedule.Retire, schedule.Vanish:
@@ -77,17 +80,17 @@
 	case schedule.Misbehave:
 		f.misbehave(ctx, s)
 	case schedule.LinkBad:
-		f.harmLink(ctx, s)
+		f.disruptLink(ctx, s)
 	case schedule.Configure:
-		f.configureOnce(ctx)
+		f.configureAndProbe(ctx)
 	case schedule.ConfigureStorm:
-		f.configureOften(ctx)
+		f.configureStorm(ctx)
 	}
 	return nil
 }
 
-// strikeBeside takes a step of those that come beside the others.
-func (f *Fleet) strikeBeside(ctx context.Context, s schedule.Step, i *instance) error {
+// applyExtra dispatches a step of schedule.More by its kind.
+func (f *Fleet) applyExtra(ctx context.Context, s schedule.Step, i *instance) error {
 	if s.Kind == schedule.Suspend {
 		return f.suspend(ctx, s.For, i)
 	}
@@ -99,7 +102,7 @@
 		return nil
 	}
 	if s.Kind == schedule.Chill {
-		f.chill(ctx, f.endpoint(s.Target), s.For)
+		f.makeCold(ctx, f.endpoint(s.Target), s.For)
 		return nil
 	}
 	if s.Kind == schedule.Evacuate {
@@ -110,55 +113,57 @@
 		f.limit(ctx, f.endpoint(s.Target), s.How)
 		return nil
 	}
-	f.rest(ctx, f.endpoint(s.Target))
+	f.backOff(ctx, f.endpoint(s.Target))
 	return nil
 }
 
-// configureOften writes configurations in quick succession.
-func (f *Fleet) configureOften(ctx context.Context) {
+// configureStorm stores configurations in quick succession.
+func (f *Fleet) configureStorm(ctx context.Context) {
 	for range 5 {
 		f.configure()
 		sleep(ctx, 80*time.Millisecond)
 	}
-	f.configureOnce(ctx)
+	f.configureAndProbe(ctx)
 }
 
-// kill kills instances at the same moment and starts them again.
-func (f *Fleet) kill(ctx context.Context, length time.Duration, struck ...*instance) error {
+// kill kills instances at the same moment and restarts them.
+func (f *Fleet) kill(ctx context.Context, length time.Duration, instances ...*instance) error {
 	var ended []<-chan struct{}
-	for _, i := range struck {
+	for _, i := range instances {
 		end := f.faults.Begin(timeline.Process, i.name, "kill")
 		defer end()
 		ended = append(ended, i.program.Signal(syscall.SIGKILL))
 	}
 	sleep(ctx, length/4)
 	for _, life := range ended {
-		program.Over(life, patience)
+		program.Over(life, waitTimeout)
 	}
-	return f.startAgain(ctx, struck...)
+	return f.restart(ctx, instances...)
 }
 
-// startAgain starts what has ended; another step may have done so.
-func (f *Fleet) startAgain(ctx context.Context, struck ...*instance) error {
-	for _, i := range struck {
+// restart starts the instances that are not running. Another step may have done so already.
+func (f *Fleet) restart(ctx context.Context, instances ...*instance) error {
+	for _, i := range instances {
 		if err := i.program.Start(); err != nil {
 			return err
 		}
 	}
-	sleep(ctx, aftermath)
+	sleep(ctx, recoveryTime)
 	return nil
 }
 
+// pause stops an instance's process by SIGSTOP for a time.
 func (f *Fleet) pause(ctx context.Context, length time.Duration, i *instance) {
 	end := f.faults.Begin(timeline.Process, i.name, "pause")
 	defer end()
 	i.program.Signal(syscall.SIGSTOP)
 	sleep(ctx, length)
 	i.program.Signal(syscall.SIGCONT)
-	time.Sleep(aftermath)
+	time.Sleep(recoveryTime)
 }
 
-// suspend suspends an instance's machine.
+// suspend emulates the suspension of an instance's machine: unlike after a pause, the
+// monotonic clock of the process has not advanced.
 func (f *Fleet) suspend(ctx context.Context, length time.Duration, i *instance) error {
 	end := f.faults.Begin(timeline.Process, i.name, "suspend")
 	defer end()
@@ -167,40 +172,41 @@
 	sleep(ctx, length)
 	err := clocks.Suspend(clocks.Path(i.program.Settings), time.Since(began))
 	i.program.Signal(syscall.SIGCONT)
-	time.Sleep(aftermath)
+	time.Sleep(recoveryTime)
 	return err
 }
 
-// poison has a caller come again and again, at any instance, with a request that ends
-// whatever engine runs it: while the step lasts, and for long after all must know.
+// poison repeats a request that crashes every engine that runs it, at any instance, during
+// the step and until long after all instances must know of it.
 func (f *Fleet) poison(ctx context.Context, s schedule.Step) {
 	kind := caller.Poison(s.How)
-	for until := time.Now().Add(s.For + poisonAfter); time.Now().Before(until) && sleep(ctx, poisonPause); {
-		if g, ok := f.pick(); ok {
-			f.checker.Called(caller.One(ctx, g, kind, f.id()))
+	for until := time.Now().Add(s.For + poisonOverrun); time.Now().Before(until) && sleep(ctx, poisonInterval); {
+		if g, ok := f.pickInstance(); ok {
+			f.checker.Called(caller.One(ctx, g, kind, f.nextID()))
 		}
 	}
 }
 
-// stop stops an instance in order and starts it again.
+// stop stops an instance by SIGTERM and restarts it. A process that outlives twice its
+// grace period is reported to the checker and killed.
 func (f *Fleet) stop(ctx context.Context, length time.Duration, i *instance) error {
 	end := f.faults.Begin(timeline.Planned, i.name, "stop")
 	defer end()
-	told := time.Now()
+	signalled := time.Now()
 	if ended := i.program.Signal(syscall.SIGTERM); !program.Over(ended, 2*grace) {
-		f.checker.Outlived(i.name, i.program.Life(), told)
-		i.program.Signal(syscall.SIGCONT) // it may be paused
-		program.Over(i.program.Signal(syscall.SIGKILL), patience)
+		f.checker.Outlived(i.name, i.program.Life(), signalled)
+		i.program.Signal(syscall.SIGCONT) // in case another step has paused it
+		program.Over(i.program.Signal(syscall.SIGKILL), waitTimeout)
 	}
 	endStart := f.faults.Begin(timeline.Process, i.name, "start")
 	defer endStart()
 	sleep(ctx, length/8)
-	return f.startAgain(ctx, i)
+	return f.restart(ctx, i)
 }
 
-// roll stops the instances of a zone one after the other.
+// roll stops and restarts the instances of a zone one after the other.
 func (f *Fleet) roll(ctx context.Context, zone string) error {
-	for _, i := range f.all() {
+	for _, i := range f.allInstances() {
 		if i.zone != zone || ctx.Err() != nil {
 			continue
 		}
@@ -211,7 +217,7 @@
 	return nil
 }
 
-// evacuate orders that a zone be evacuated, until some time after all must know of it.
+// evacuate evacuates a zone until some time after all instances must know of it.
 func (f *Fleet) evacuate(ctx context.Context, zone string, length time.Duration) {
 	if !f.claim(zone) {
 		return
@@ -219,13 +225,13 @@
 	defer f.release(zone)
 	f.store.Evacuate(zone)
 	end := f.checker.Evacuated(zone)
-	sleep(ctx, changeTime+length)
+	sleep(ctx, minChangeTime+length)
 	end()
 	f.store.EndEvacuation(zone)
 }
 
-// claim says whether a zone or endpoint may be changed for a while: no other step does so,
-// whose end would take this change back.
+// claim reserves a zone or an endpoint for a change, and reports whether it was free: the
+// end of another step's change would also revoke this one.
 func (f *Fleet) claim(target string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -234,14 +240,16 @@
 	return free
 }
 
+// release ends a claim.
 func (f *Fleet) release(target string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.claimed, target)
 }
 
-// hangup changes an instance's settings, with or without a signal.
-func (f *Fleet) hangup(i *instance, signal bool) error {
+// changeSettings changes the grace period in an instance's settings, with or without a
+// SIGHUP.
+func (f *Fleet) changeSettings(i *instance, signal bool) error {
 	if err := i.writeSettings(grace + time.Millisecond*time.Duration(len(f.routes))); err != nil {
 		return err
 	}
@@ -251,38 +259,40 @@
 	return nil
 }
 
-// harmPeers harms the ways between instances.
-func (f *Fleet) harmPeers(ctx context.Context, s schedule.Step, i *instance) {
-	struck := []*instance{i}
+// disruptPeers disrupts the connections between instances.
+func (f *Fleet) disruptPeers(ctx context.Context, s schedule.Step, i *instance) {
+	affected := []*instance{i}
 	if s.Kind == schedule.ZoneCut {
-		struck = f.inZone(i.zone)
-		// The ways inside the zone are cut as well, which is worse than a zone's cut.
+		affected = f.inZone(i.zone)
+		// Connections within the zone are cut as well, which is worse than cutting off
+		// the zone as a whole.
 		end := f.faults.Begin(timeline.Store, "", "zone cut")
 		defer end()
-		for _, z := range struck {
+		for _, z := range affected {
 			z.door.Set(standin.Silent)
 			defer z.door.Set(standin.Healthy)
 		}
 	}
 	end := f.faults.Begin(timeline.Peers, "", string(s.Kind))
 	defer end()
-	for _, z := range struck {
+	for _, z := range affected {
 		switch s.Kind {
 		case schedule.PeersOneWay:
-			z.lose(float64(s.How%2), float64((s.How+1)%2))
+			z.setLoss(float64(s.How%2), float64((s.How+1)%2))
 		case schedule.PeersLossy:
-			z.lose(0.2, 0.2)
+			z.setLoss(0.2, 0.2)
 		default:
-			z.lose(1, 1)
+			z.setLoss(1, 1)
 		}
-		defer z.lose(0, 0)
+		defer z.setLoss(0, 0)
 	}
 	sleep(ctx, s.For)
 }
 
+// inZone returns the instances of a zone.
 func (f *Fleet) inZone(zone string) []*instance {
 	var list []*instance
-	for _, i := range f.all() {
+	for _, i := range f.allInstances() {
 		if i.zone == zone {
 			list = append(list, i)
 		}
@@ -290,11 +300,11 @@
 	return list
 }
 
-// harmDoors lets the store fail some instances.
-func (f *Fleet) harmDoors(ctx context.Context, s schedule.Step, scope timeline.Scope, struck ...*instance) {
-	ways := []standin.Fault{standin.Busy, standin.Silent, standin.Cut, standin.DeafWatches, standin.LostWrites, standin.Slow}
-	fault := ways[s.How%len(ways)]
-	for _, i := range struck {
+// disruptStoreAccess makes the store fail in the same way for all given instances.
+func (f *Fleet) disruptStoreAccess(ctx context.Context, s schedule.Step, scope timeline.Scope, instances ...*instance) {
+	faults := []standin.Fault{standin.Busy, standin.Silent, standin.Cut, standin.DeafWatches, standin.LostWrites, standin.Slow}
+	fault := faults[s.How%len(faults)]
+	for _, i := range instances {
 		end := f.faults.Begin(scope, i.name, fmt.Sprint("door fault ", fault))
 		defer end()
 		i.door.Set(fault)
@@ -303,45 +313,46 @@
 	sleep(ctx, s.For)
 }
 
-func (f *Fleet) slowStore(ctx context.Context, length time.Duration) {
+// delayStore delays the traffic of all instances with the store.
+func (f *Fleet) delayStore(ctx context.Context, length time.Duration) {
 	end := f.faults.Begin(timeline.Store, "", "slow")
 	defer end()
-	for _, i := range f.all() {
+	for _, i := range f.allInstances() {
 		i.doorLink.Set(link.Delayed)
 		defer i.doorLink.Set(link.Clean)
 	}
 	sleep(ctx, length)
 }
 
-// lapse takes the store away; endpoints' entries lapse and are back a moment
-// after its return.
-func (f *Fleet) lapse(ctx context.Context, length time.Duration) {
+// expireEntries makes the store unavailable for a time. The entries of endpoints expire
+// meanwhile, and are registered again shortly after the store's return.
+func (f *Fleet) expireEntries(ctx context.Context, length time.Duration) {
 	end := f.faults.Begin(timeline.Store, "", "lapse")
 	defer end()
-	for _, i := range f.all() {
+	for _, i := range f.allInstances() {
 		i.door.Set(standin.Cut)
 	}
 	sleep(ctx, length)
 	f.mu.Lock()
-	lapsed := slices.Clone(f.endpoints)
+	expired := slices.Clone(f.endpoints)
 	f.mu.Unlock()
-	for _, e := range lapsed {
+	for _, e := range expired {
 		e.Leave(f.store)
 	}
-	for _, i := range f.all() {
+	for _, i := range f.allInstances() {
 		i.door.Set(standin.Healthy)
 	}
 	sleep(ctx, 1500*time.Millisecond)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, e := range lapsed {
-		if slices.Contains(f.endpoints, e) { // it has neither left nor crashed meanwhile
+	for _, e := range expired {
+		if slices.Contains(f.endpoints, e) { // it has not left or crashed in the meantime
 			e.Register(f.store, "ready")
 		}
 	}
 }
 
-// misbehave lets an endpoint answer badly.
+// misbehave makes an endpoint answer incorrectly or slowly.
 func (f *Fleet) misbehave(ctx context.Context, s schedule.Step) {
 	n := s.How % len(misbehaviours())
 	b := misbehaviours()[n]
@@ -350,15 +361,15 @@
 	defer end()
 	e.Behave(b)
 	sleep(ctx, s.For)
-	e.Behave(well())
-	sleep(ctx, aftermath)
+	e.Behave(normalBehaviour())
+	sleep(ctx, recoveryTime)
 }
 
-// harmLink harms the way to an endpoint.
-func (f *Fleet) harmLink(ctx context.Context, s schedule.Step) {
+// disruptLink makes the link to an endpoint faulty.
+func (f *Fleet) disruptLink(ctx context.Context, s schedule.Step) {
 	e := f.endpoint(s.Target)
-	ways := []link.Fault{link.Delayed, link.NoAnswers, link.Silent, link.Refused, link.Clean}
-	fault := ways[s.How%len(ways)]
+	faults := []link.Fault{link.Delayed, link.NoAnswers, link.Silent, link.Refused, link.Clean}
+	fault := faults[s.How%len(faults)]
 	end := f.faults.Begin(timeline.Endpoint, e.ID, fmt.Sprint("link fault ", fault))
 	defer end()
 	e.link.Set(fault)
@@ -367,11 +378,11 @@
 	}
 	sleep(ctx, s.For)
 	e.link.Set(link.Clean)
-	sleep(ctx, aftermath)
+	sleep(ctx, recoveryTime)
 }
 
-// configureOnce writes a configuration and asks all instances for its route.
-func (f *Fleet) configureOnce(ctx context.Context) {
+// configureAndProbe stores a configuration and probes all instances for its route.
+func (f *Fleet) configureAndProbe(ctx context.Context) {
 	f.configure()
 	f.mu.Lock()
 	version := f.version
