--- a/internal/soak/link/link.go
+++ b/internal/soak/link/link.go
@@ -1,5 +1,5 @@
-// Package link is a loopback TCP proxy whose connections can be delayed, cut
-// one way, silenced, refused and reset from outside the processes that use it.
+// Package link is a loopback TCP proxy that can delay, block (in one direction or both),
+// refuse and reset connections, without the cooperation of the processes that use it.
 package link
 
 import (
@@ -12,38 +12,38 @@
 	"time"
 )
 
-// Fault is what a link does to what passes through it.
+// Fault is what a link does to the connections through it.
 type Fault int
 
 // Faults of a link.
 const (
 	Clean     Fault = iota
-	Delayed         // each piece is held up for Delay
-	NoAnswers       // what goes there passes, what comes back is held
-	Silent          // nothing passes either way; connections stay open
-	Refused         // nobody listens, as where a process has ended
+	Delayed         // each chunk of data is delayed by Delay
+	NoAnswers       // data to the target passes, data from it is held back
+	Silent          // data is held back in both directions; connections stay open
+	Refused         // connections are refused, as by a port without a listener
 )
 
-// Delay is how long a delayed link holds up each piece.
+// Delay is how long a delayed link holds back each chunk.
 const Delay = 120 * time.Millisecond
 
-// piece is how many bytes pass at a time.
-const piece = 16 << 10
+// chunkSize is the maximum number of bytes forwarded at a time.
+const chunkSize = 16 << 10
 
-// Link passes connections to its address on to a target.
+// Link forwards connections to its address to a target.
 type Link struct {
 	Address netip.AddrPort
 
-	port     *port
-	mu       sync.Mutex
-	listener net.Listener // nil while it refuses
-	target   netip.AddrPort
-	fault    Fault
-	turned   chan struct{} // closed and replaced when the fault changes
-	open     map[net.Conn]bool
+	port        *port
+	mu          sync.Mutex
+	listener    net.Listener // nil while connections are refused
+	target      netip.AddrPort
+	fault       Fault
+	changed     chan struct{} // closed and replaced when the fault changes
+	connections map[net.Conn]bool
 }
 
-// New opens a link to target.
+// New opens a link to target on a loopback port.
 func New(target netip.AddrPort) (*Link, error) {
 	p, err := reserve()
 	if err != nil {
@@ -56,19 +56,19 @@
 	}
 	link := &Link{
 		Address: p.address, port: p, listener: l, target: target,
-		turned: make(chan struct{}), open: map[net.Conn]bool{},
+		changed: make(chan struct{}), connections: map[net.Conn]bool{},
 	}
 	go link.accept(l)
 	return link, nil
 }
 
-// Set changes the fault; what was held passes once the link is clean.
+// Set changes the fault. Data that was held back passes once the fault permits it.
 func (l *Link) Set(f Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.fault = f
-	close(l.turned)
-	l.turned = make(chan struct{})
+	close(l.changed)
+	l.changed = make(chan struct{})
 	switch {
 	case f == Refused && l.listener != nil:
 		_ = l.listener.Close()
@@ -78,18 +78,18 @@
 	}
 }
 
-// listen listens again. It can fail only where the machine has no descriptors left;
-// the link refuses on then.
+// listen starts to listen again. It fails only if the machine has no file descriptors left;
+// the link then keeps refusing connections.
 func (l *Link) listen() {
-	again, err := l.port.listen()
+	listener, err := l.port.listen()
 	if err != nil {
 		return
 	}
-	l.listener = again
-	go l.accept(again)
+	l.listener = listener
+	go l.accept(listener)
 }
 
-// Aim sends new connections to another target, as when an address is reused.
+// Aim sets the target of new connections, as when an address is reused by another process.
 func (l *Link) Aim(target netip.AddrPort) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -100,22 +100,23 @@
 func (l *Link) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for c := range l.open {
+	for c := range l.connections {
 		reset(c)
 	}
-	l.open = map[net.Conn]bool{}
+	l.connections = map[net.Conn]bool{}
 }
 
-// Close ends the link.
+// Close closes the link with all its connections and releases its port.
 func (l *Link) Close() {
 	l.Set(Refused)
 	l.Reset()
 	l.port.release()
 }
 
-func (l *Link) accept(from net.Listener) {
+// accept serves connections until the listener is closed.
+func (l *Link) accept(listener net.Listener) {
 	for {
-		c, err := from.Accept()
+		c, err := listener.Accept()
 		if err != nil {
 			return // closed
 		}
@@ -123,33 +124,34 @@
 	}
 }
 
-func (l *Link) serve(near net.Conn) {
+// serve forwards one connection in both directions until it ends.
+func (l *Link) serve(client net.Conn) {
 	l.mu.Lock()
 	target := l.target
 	l.mu.Unlock()
-	far, err := (&net.Dialer{}).DialContext(context.Background(), "tcp", target.String())
+	server, err := (&net.Dialer{}).DialContext(context.Background(), "tcp", target.String())
 	if err != nil {
-		reset(near) // nobody listens there: callers see what a dead port does
+		reset(client) // the target does not listen; a reset is the closest to a refused connection
 		return
 	}
 	l.mu.Lock()
-	l.open[near], l.open[far] = true, true
+	l.connections[client], l.connections[server] = true, true
 	l.mu.Unlock()
-	go l.pass(far, near, false)
-	l.pass(near, far, true)
+	go l.forward(server, client, false)
+	l.forward(client, server, true)
 	l.mu.Lock()
-	delete(l.open, near)
-	delete(l.open, far)
+	delete(l.connections, client)
+	delete(l.connections, server)
 	l.mu.Unlock()
 }
 
-// pass copies from one side to the other until either ends, and ends the other
-// side in the same way.
-func (l *Link) pass(to, from net.Conn, answers bool) {
-	buffer := make([]byte, piece)
+// forward copies data from one side to the other until either side ends, and then closes
+// or resets the other side likewise. fromTarget is the direction of the data.
+func (l *Link) forward(to, from net.Conn, fromTarget bool) {
+	buffer := make([]byte, chunkSize)
 	for {
 		n, err := from.Read(buffer)
-		l.hold(answers)
+		l.wait(fromTarget)
 		if n > 0 {
 			if _, err := to.Write(buffer[:n]); err != nil {
 				reset(from)
@@ -167,24 +169,25 @@
 	}
 }
 
-// hold waits as the fault demands.
-func (l *Link) hold(answers bool) {
+// wait blocks for as long as the fault holds back data of a direction.
+func (l *Link) wait(fromTarget bool) {
 	for {
 		l.mu.Lock()
-		fault, turned := l.fault, l.turned
+		fault, changed := l.fault, l.changed
 		l.mu.Unlock()
 		switch {
 		case fault == Delayed:
 			time.Sleep(Delay)
 			return
-		case fault == Silent, fault == NoAnswers && answers:
-			<-turned
+		case fault == Silent, fault == NoAnswers && fromTarget:
+			<-changed
 		default:
 			return
 		}
 	}
 }
 
+// reset closes a connection by a TCP reset.
 func reset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
--- a/internal/soak/link/link_test.go
+++ b/internal/soak/link/link_test.go
@@ -13,7 +13,7 @@
 	"github.com/trailshed/trailshed/internal/soak/link"
 )
 
-// echo answers each connection with what it sends.
+// echo starts a server that echoes what it receives, and returns its address.
 func echo(t *testing.T) netip.AddrPort {
 	t.Helper()
 	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -31,6 +31,7 @@
 	return netip.MustParseAddrPort(l.Addr().String())
 }
 
+// open opens a link to an echo server and a connection through it.
 func open(t *testing.T) (*link.Link, net.Conn) {
 	t.Helper()
 	l, err := link.New(echo(t))
@@ -42,13 +43,13 @@
 	return l, c
 }
 
-func say(t *testing.T, c net.Conn, text string) {
+func send(t *testing.T, c net.Conn, text string) {
 	t.Helper()
 	_, err := c.Write([]byte(text))
 	qt.Assert(t, err, qt.IsNil)
 }
 
-func hear(t *testing.T, c net.Conn, n int) string {
+func receive(t *testing.T, c net.Conn, n int) string {
 	t.Helper()
 	b := make([]byte, n)
 	_, err := io.ReadFull(c, b)
@@ -56,8 +57,8 @@
 	return string(b)
 }
 
-// A link that refuses does so as a dead port does, and nobody else gets its address
-// meanwhile: another run's endpoint there would see requests of this one.
+// A refusing link behaves like a port without a listener and keeps its port. If the port
+// were free, an endpoint of another run could get it and receive this run's requests.
 func TestRefusedLinkKeepsItsPort(t *testing.T) {
 	c := qt.New(t)
 	l, _ := open(t)
@@ -70,11 +71,11 @@
 	again, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", l.Address.String())
 	c.Assert(err, qt.IsNil)
 	defer func() { _ = again.Close() }()
-	say(t, again, "back")
-	c.Assert(hear(t, again, 4), qt.Equals, "back")
+	send(t, again, "back")
+	c.Assert(receive(t, again, 4), qt.Equals, "back")
 }
 
-// Whatever a link holds passes, whole and in order, once it is clean again.
+// Data that a link held back passes completely and in order once the fault ends.
 func TestHeldBytesPassLater(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -88,28 +89,28 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			l, c := open(t)
-			say(t, c, "one")
-			qt.Assert(t, hear(t, c, 3), qt.Equals, "one")
+			send(t, c, "one")
+			qt.Assert(t, receive(t, c, 3), qt.Equals, "one")
 			l.Set(test.fault)
-			say(t, c, "two")
-			say(t, c, "three")
+			send(t, c, "two")
+			send(t, c, "three")
 			l.Set(link.Clean)
-			qt.Assert(t, hear(t, c, 8), qt.Equals, "twothree")
+			qt.Assert(t, receive(t, c, 8), qt.Equals, "twothree")
 		})
 	}
 }
 
 func TestResetsAreSeen(t *testing.T) {
 	l, c := open(t)
-	say(t, c, "one")
-	qt.Assert(t, hear(t, c, 3), qt.Equals, "one")
+	send(t, c, "one")
+	qt.Assert(t, receive(t, c, 3), qt.Equals, "one")
 	l.Reset()
 	_, err := c.Read(make([]byte, 1))
 	qt.Assert(t, err, qt.IsNotNil)
 	l.Set(link.Refused)
 	again, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", l.Address.String())
 	if err != nil {
-		return // the reset came while it connected
+		return // the connection was reset while being established
 	}
 	defer func() { _ = again.Close() }()
 	_, err = again.Read(make([]byte, 1))
--- a/internal/soak/link/port.go
+++ b/internal/soak/link/port.go
@@ -9,13 +9,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// port is a loopback port that is kept while nobody listens on it: a socket is bound to
-// it that never listens, and the listeners share the port with that one.
+// port is a loopback port that stays reserved while nothing listens on it: a socket that
+// never listens is bound to it, and listeners share the port by SO_REUSEPORT.
 type port struct {
 	address netip.AddrPort
 	socket  int
 }
 
+// reserve reserves a free port.
 func reserve() (*port, error) {
 	socket, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -29,6 +30,7 @@
 	return p, nil
 }
 
+// bind binds the reserving socket to a free port and stores the port's address.
 func (p *port) bind() error {
 	if err := unix.SetsockoptInt(p.socket, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1); err != nil {
 		return err
@@ -46,18 +48,20 @@
 	return nil
 }
 
+// listen opens a listener on the port.
 func (p *port) listen() (net.Listener, error) {
-	share := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
-		var failed error
+	config := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
+		var optionErr error
 		err := c.Control(func(fd uintptr) {
-			failed = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
+			optionErr = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 		})
 		if err != nil {
 			return err
 		}
-		return failed
+		return optionErr
 	}}
-	return share.Listen(context.Background(), "tcp", p.address.String())
+	return config.Listen(context.Background(), "tcp", p.address.String())
 }
 
+// release gives up the reservation.
 func (p *port) release() { _ = unix.Close(p.socket) }
