--- a/internal/soak/program/program.go
+++ b/internal/soak/program/program.go
@@ -1,5 +1,5 @@
-// Package program runs one real program as a process of its own and strikes it
-// with signals, by its id, as the machine's faults would.
+// Package program runs a program under test as a child process, restarts it, and sends
+// signals to the process to emulate faults of its machine.
 package program
 
 import (
@@ -16,28 +16,29 @@
 	"time"
 )
 
-// Program is one process and those that follow it.
+// Program runs a program, one process at a time. Each start is a new incarnation.
 type Program struct {
-	File     string
+	File     string // path of the executable
 	Settings string // path of its settings file
-	Log      string // path of its log, which grows with each life
-	// Failed is told of a life that ended in another way than it was told to:
-	// by itself, or with a failure after SIGTERM.
+	Log      string // path of its log, to which all incarnations append
+	// Failed is called when a process exited without a signal to do so, or with an error
+	// after SIGTERM if it had started.
 	Failed func(how error)
 
-	mu    sync.Mutex
-	cmd   *exec.Cmd
-	ended chan struct{}
-	life  int
-	log   *os.File
-	told  syscall.Signal // SIGTERM or SIGKILL; 0 while it is to live
-	from  int64          // byte of the log at which the life begins
+	mu        sync.Mutex
+	cmd       *exec.Cmd
+	exited    chan struct{}
+	starts    int
+	log       *os.File
+	signalled syscall.Signal // SIGTERM or SIGKILL if sent; otherwise 0
+	logOffset int64          // offset in the log at which the incarnation begins
 }
 
-// starts carries the starts of all programs to one thread, which lasts as long
-// as this process: the kernel ends what a thread started when the thread ends,
-// so no instance outlives a soak that was killed.
-var starts = sync.OnceValue(func() chan<- func() {
+// starter returns a channel to a thread that starts all processes and lasts as long as this
+// process. With Pdeathsig the kernel kills a child when the thread that started it ends, so
+// no instance outlives a soak test that was killed, but a short-lived thread would end its
+// children too early.
+var starter = sync.OnceValue(func() chan<- func() {
 	work := make(chan func())
 	go func() {
 		runtime.LockOSThread()
@@ -48,14 +49,15 @@
 	return work
 })
 
+// start starts a command from the starter thread.
 func start(cmd *exec.Cmd) error {
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	done := make(chan error)
-	starts() <- func() { done <- cmd.Start() }
+	starter() <- func() { done <- cmd.Start() }
 	return <-done
 }
 
-// Start begins a new life; it does nothing while one lasts.
+// Start starts a process. It does nothing while one is running.
 func (p *Program) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -69,7 +71,7 @@
 	if err != nil {
 		return err
 	}
-	from, err := log.Seek(0, io.SeekEnd)
+	offset, err := log.Seek(0, io.SeekEnd)
 	if err != nil {
 		_ = log.Close()
 		return err
@@ -80,75 +82,75 @@
 		_ = log.Close()
 		return fmt.Errorf("start %s: %w", p.File, err)
 	}
-	p.cmd, p.log, p.ended, p.told, p.from = cmd, log, make(chan struct{}), 0, from
-	p.life++
-	go p.reap(cmd, log, p.ended)
+	p.cmd, p.log, p.exited, p.signalled, p.logOffset = cmd, log, make(chan struct{}), 0, offset
+	p.starts++
+	go p.reap(cmd, log, p.exited)
 	return nil
 }
 
-// reap waits for the end of a life; how it ended stands in the log.
-func (p *Program) reap(cmd *exec.Cmd, log *os.File, ended chan struct{}) {
+// reap waits for the exit of a process, logs it and reports unexpected ones.
+func (p *Program) reap(cmd *exec.Cmd, log *os.File, exited chan struct{}) {
 	err := cmd.Wait()
 	_, _ = fmt.Fprintf(log, "{\"event\":\"process_ended\",\"at\":%q,\"how\":%q}\n", time.Now().Format(time.RFC3339Nano), fmt.Sprint(err))
 	_ = log.Close()
 	p.mu.Lock()
-	told, from := p.told, p.from
+	signalled, offset := p.signalled, p.logOffset
 	p.mu.Unlock()
-	if told == 0 || told == syscall.SIGTERM && err != nil && p.begun(from) {
+	if signalled == 0 || signalled == syscall.SIGTERM && err != nil && p.hasStarted(offset) {
 		p.Failed(err)
 	}
 	p.mu.Lock()
 	p.cmd = nil
 	p.mu.Unlock()
-	close(ended)
+	close(exited)
 }
 
-// begun says whether the life whose log begins at a byte came as far as its
-// first line. Until then SIGTERM ends any process, and no harm is done.
-func (p *Program) begun(from int64) bool {
+// hasStarted reports whether the incarnation whose log begins at an offset has logged its
+// start. Before that a process does not handle SIGTERM yet: it exits with an error, and
+// nothing is lost.
+func (p *Program) hasStarted(offset int64) bool {
 	data, err := os.ReadFile(p.Log)
-	return err != nil || strings.Contains(string(data[min(from, int64(len(data))):]), Begun)
+	return err != nil || strings.Contains(string(data[min(offset, int64(len(data))):]), StartedMarker)
 }
 
-// Begun is in the line that a process writes once it runs.
-const Begun = `"event":"started"`
+// StartedMarker is in the line that a process logs once it has started.
+const StartedMarker = `"event":"started"`
 
-// Signal sends a signal to the process that this Program started, if it lives,
-// and returns what is closed at the end of that life.
-func (p *Program) Signal(s syscall.Signal) (ended <-chan struct{}) {
+// Signal sends a signal to the running process, if there is one, and returns a channel that
+// is closed when that process has exited.
+func (p *Program) Signal(s syscall.Signal) (exited <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
-		over := make(chan struct{})
-		close(over)
-		return over
+		closed := make(chan struct{})
+		close(closed)
+		return closed
 	}
-	if s == syscall.SIGKILL || s == syscall.SIGTERM && p.told == 0 {
-		p.told = s
+	if s == syscall.SIGKILL || s == syscall.SIGTERM && p.signalled == 0 {
+		p.signalled = s
 	}
-	_ = p.cmd.Process.Signal(s) // it may have ended this moment
-	return p.ended
+	_ = p.cmd.Process.Signal(s) // fails if the process has just exited
+	return p.exited
 }
 
-// Over waits for the end of a life, at most for a time, and says whether it
-// came.
-func Over(ended <-chan struct{}, most time.Duration) bool {
+// Over waits for the exit of a process, at most for timeout, and reports whether it exited.
+func Over(exited <-chan struct{}, timeout time.Duration) bool {
 	select {
-	case <-ended:
+	case <-exited:
 		return true
-	case <-time.After(most):
+	case <-time.After(timeout):
 		return false
 	}
 }
 
-// Life counts the starts so far.
+// Life returns the number of starts so far.
 func (p *Program) Life() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.life
+	return p.starts
 }
 
-// Alive says whether a process runs.
+// Alive reports whether a process is running.
 func (p *Program) Alive() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
