--- a/internal/soak/schedule/schedule.go
+++ b/internal/soak/schedule/schedule.go
@@ -1,5 +1,5 @@
-// Package schedule draws what happens in one run from its seed: faults that
-// come in series and overlap, between them planned work.
+// Package schedule draws the steps of a run from its seed: faults, some of them repeated,
+// that may overlap, and planned operations such as stops and configuration changes.
 package schedule
 
 import (
@@ -8,69 +8,69 @@
 	"time"
 )
 
-// Kind names a step.
+// Kind identifies what a step does.
 type Kind string
 
-// Steps that strike instances.
+// Steps that affect instances.
 const (
-	Kill    Kind = "kill"     // one is killed
-	KillAll Kind = "kill_all" // all are killed at the same moment
-	Pause   Kind = "pause"    // one is frozen
-	Stop    Kind = "stop"     // one is stopped in order
-	Roll    Kind = "roll"     // those of a zone are, one after the other
-	Hangup  Kind = "hangup"   // one's settings change, with or without a signal
+	Kill    Kind = "kill"     // kills an instance
+	KillAll Kind = "kill_all" // kills all instances at the same moment
+	Pause   Kind = "pause"    // stops the process of an instance by SIGSTOP for a time
+	Stop    Kind = "stop"     // stops an instance by SIGTERM
+	Roll    Kind = "roll"     // stops the instances of a zone one after the other
+	Hangup  Kind = "hangup"   // changes the settings of an instance, with or without SIGHUP
 )
 
-// Steps that strike the ways between instances.
+// Steps that affect the connections between instances.
 const (
-	PeersCut    Kind = "peers_cut"     // one hears nobody
-	PeersOneWay Kind = "peers_one_way" // one hears, and is not heard
-	PeersLossy  Kind = "peers_lossy"   // datagrams are lost
-	ZoneCut     Kind = "zone_cut"      // a zone is cut from the others and the store
+	PeersCut    Kind = "peers_cut"     // an instance neither receives nor sends
+	PeersOneWay Kind = "peers_one_way" // an instance only receives or only sends
+	PeersLossy  Kind = "peers_lossy"   // an instance's datagrams are partly lost
+	ZoneCut     Kind = "zone_cut"      // a zone is cut off from other zones and the store
 )
 
-// Steps that strike the store.
+// Steps that affect the store.
 const (
-	DoorFault   Kind = "door_fault"   // it fails one instance
-	StoreFault  Kind = "store_fault"  // it fails all
-	StoreSlow   Kind = "store_slow"   // it answers late
-	StoreForget Kind = "store_forget" // its history is lost
-	Lapse       Kind = "lapse"        // it is away, and entries are gone until after its return
+	DoorFault   Kind = "door_fault"   // the store fails one instance
+	StoreFault  Kind = "store_fault"  // the store fails all instances
+	StoreSlow   Kind = "store_slow"   // the store answers late
+	StoreForget Kind = "store_forget" // the store loses its history
+	Lapse       Kind = "lapse"        // the store is unavailable; entries of endpoints expire until shortly after its return
 )
 
-// Steps that strike endpoints.
+// Steps that affect endpoints.
 const (
-	Crash     Kind = "crash"     // one goes without a word and comes back as another one
-	Reuse     Kind = "reuse"     // the same, and its address is given to another service
-	Retire    Kind = "retire"    // one says that it leaves, and leaves
-	Vanish    Kind = "vanish"    // one leaves without saying so
-	Misbehave Kind = "misbehave" // one answers badly
-	LinkBad   Kind = "link_bad"  // the way to one is bad
+	Crash     Kind = "crash"     // an endpoint ends without announcement and is replaced
+	Reuse     Kind = "reuse"     // like Crash, and another service gets the endpoint's address
+	Retire    Kind = "retire"    // an endpoint announces in its entry that it leaves, and leaves
+	Vanish    Kind = "vanish"    // an endpoint removes its entry and leaves
+	Misbehave Kind = "misbehave" // an endpoint answers incorrectly or slowly
+	LinkBad   Kind = "link_bad"  // the link to an endpoint is faulty
 )
 
 // Steps of the operators.
 const (
-	Configure      Kind = "configure"
-	ConfigureStorm Kind = "configure_storm"
+	Configure      Kind = "configure"       // stores a configuration
+	ConfigureStorm Kind = "configure_storm" // stores configurations in quick succession
 )
 
-// Steps that come beside those drawn by weight.
+// Steps drawn by More, independently of those drawn by weight.
 const (
-	Poison  Kind = "poison"  // a request comes again and again that ends whatever engine runs it
-	Suspend Kind = "suspend" // one's machine is suspended: its steady clock stands still
-	// An endpoint's answers say that it leaves, while its entry tells nothing of that.
+	Poison  Kind = "poison"  // repeats a request that crashes every engine that runs it
+	Suspend Kind = "suspend" // suspends an instance's machine: its monotonic clock stops
+	// An endpoint announces in its answers, but not yet in its entry, that it leaves.
 	Announce Kind = "announce"
-	// An endpoint turns everything away and wants nothing for a while.
+	// An endpoint rejects all requests and asks for a backoff.
 	Rest Kind = "rest"
-	// An endpoint names how many requests a second it takes from all instances.
+	// An endpoint names a limit, in requests a second from all instances together.
 	Limit Kind = "limit"
-	// A zone is evacuated, and used again later.
+	// A zone is evacuated for a time.
 	Evacuate Kind = "evacuate"
-	// An endpoint is cold for a while.
+	// An endpoint is cold for a time.
 	Chill Kind = "chill"
 )
 
-// weights say how often each kind comes.
+// weights are the relative frequencies of the kinds drawn by New.
 var weights = []struct {
 	kind   Kind
 	weight int
@@ -100,30 +100,32 @@
 	{ConfigureStorm, 1},
 }
 
-// Step is one thing that happens.
+// Step is one fault or operation.
 type Step struct {
 	At     time.Duration // from the start of the run
-	For    time.Duration
+	For    time.Duration // duration of the fault
 	Kind   Kind
-	Target int // which instance, zone or endpoint, modulo how many there are
-	How    int // which variant, modulo how many there are
+	Target int // index of the instance, zone or endpoint, modulo their number
+	How    int // index of the variant, modulo the number of variants
 }
 
 const (
-	// quiet is the time without faults at the start; it lets a fleet form.
-	quiet = 1500 * time.Millisecond
-	// gapMean is the mean time between two steps; faultMost bounds one's length.
-	gapMean   = 900 * time.Millisecond
-	moreGap   = 5 * time.Second // the same, of the steps of More
-	faultMost = 4500 * time.Millisecond
-	// seriesShare of the steps are followed by the same kind again.
-	seriesShare = 0.25
+	// initialDelay is the time without faults at the start, in which the fleet forms.
+	initialDelay = 1500 * time.Millisecond
+	// meanGap is the mean time between two steps of New, meanExtraGap that between two
+	// steps of a stream of More.
+	meanGap      = 900 * time.Millisecond
+	meanExtraGap = 5 * time.Second
+	// maxDuration bounds the duration of a step.
+	maxDuration = 4500 * time.Millisecond
+	// repeatRatio is the fraction of steps after which the next one repeats the kind.
+	repeatRatio = 0.25
 )
 
-// beside are the streams of steps that come beside those of New, in the order in which
-// they were added, each with kinds of its own, so that a seed's other steps are what they
-// were before there were these.
-var beside = []struct {
+// extraStreams are the streams of steps drawn by More. Each has its own random source and
+// its own kinds. New kinds are added as a new stream at the end, so that the other steps of
+// a seed do not change.
+var extraStreams = []struct {
 	stream uint64
 	kinds  []Kind
 }{
@@ -133,18 +135,18 @@
 	{0xbf58476d1ce4e5b9, []Kind{Evacuate, Chill}},
 }
 
-// More draws the steps of a run that come beside those of New.
+// More draws additional steps of a run, independently of those of New.
 func More(seed uint64, length time.Duration) []Step {
 	var steps []Step
-	for _, b := range beside {
-		steps = Join(steps, drawBeside(seed, b.stream, length, b.kinds))
+	for _, b := range extraStreams {
+		steps = Join(steps, drawExtra(seed, b.stream, length, b.kinds))
 	}
 	return steps
 }
 
-// IsBeside says whether a kind is drawn by More.
+// IsBeside reports whether a kind is drawn by More.
 func IsBeside(k Kind) bool {
-	for _, b := range beside {
+	for _, b := range extraStreams {
 		if slices.Contains(b.kinds, k) {
 			return true
 		}
@@ -152,30 +154,31 @@
 	return false
 }
 
-func drawBeside(seed, stream uint64, length time.Duration, kinds []Kind) []Step {
-	r := rand.New(rand.NewPCG(seed, stream)) //nolint:gosec // a schedule needs no secrecy
+// drawExtra draws the steps of one stream.
+func drawExtra(seed, stream uint64, length time.Duration, kinds []Kind) []Step {
+	r := rand.New(rand.NewPCG(seed, stream)) //nolint:gosec // schedules must be reproducible, not secret
 	var steps []Step
-	for at := quiet; at < length; at += time.Duration(r.ExpFloat64() * float64(moreGap)) {
+	for at := initialDelay; at < length; at += time.Duration(r.ExpFloat64() * float64(meanExtraGap)) {
 		kind := kinds[r.IntN(len(kinds))]
 		steps = append(steps, Step{
-			At: at, For: faultMost/10 + time.Duration(r.Float64()*float64(faultMost)*0.9),
+			At: at, For: maxDuration/10 + time.Duration(r.Float64()*float64(maxDuration)*0.9),
 			Kind: kind, Target: r.IntN(1 << 16), How: r.IntN(1 << 16),
 		})
 	}
 	return steps
 }
 
-// Join returns the steps of two lists in the order of their times.
+// Join merges two lists of steps in the order of their times.
 func Join(a, b []Step) []Step {
 	all := slices.Concat(a, b)
 	slices.SortStableFunc(all, func(a, b Step) int { return int(a.At - b.At) })
 	return all
 }
 
-// New draws the steps of a run of so long, in the order of their times; only, if
-// not empty, is the kind of all of them.
+// New draws the steps of a run in the order of their times; length is that of the part with
+// faults. If only is not empty, all steps are of that kind.
 func New(seed uint64, length time.Duration, only Kind) []Step {
-	r := rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)) //nolint:gosec // a schedule needs no secrecy
+	r := rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)) //nolint:gosec // schedules must be reproducible, not secret
 	var steps []Step
 	draw := drawWeighted
 	kind := draw(r)
@@ -183,12 +186,12 @@
 		draw = func(*rand.Rand) Kind { return only }
 		kind = only
 	}
-	for at := quiet; at < length; at += time.Duration(r.ExpFloat64() * float64(gapMean)) {
+	for at := initialDelay; at < length; at += time.Duration(r.ExpFloat64() * float64(meanGap)) {
 		steps = append(steps, Step{
-			At: at, For: faultMost/10 + time.Duration(r.Float64()*float64(faultMost)*0.9),
+			At: at, For: maxDuration/10 + time.Duration(r.Float64()*float64(maxDuration)*0.9),
 			Kind: kind, Target: r.IntN(1 << 16), How: r.IntN(1 << 16),
 		})
-		if r.Float64() > seriesShare {
+		if r.Float64() > repeatRatio {
 			kind = draw(r)
 		}
 	}
@@ -196,7 +199,7 @@
 	return steps
 }
 
-// drawWeighted draws a kind by the weights.
+// drawWeighted draws a kind according to weights.
 func drawWeighted(r *rand.Rand) Kind {
 	total := 0
 	for _, w := range weights {
--- a/internal/soak/schedule/schedule_test.go
+++ b/internal/soak/schedule/schedule_test.go
@@ -9,7 +9,7 @@
 	"github.com/trailshed/trailshed/internal/soak/schedule"
 )
 
-// A seed always draws the same steps, and many seeds draw every kind.
+// A seed always draws the same steps, and all kinds are drawn over many seeds.
 func TestSeedsReproduceSchedules(t *testing.T) {
 	c := qt.New(t)
 	c.Assert(schedule.New(7, time.Minute, ""), qt.DeepEquals, schedule.New(7, time.Minute, ""))
