--- a/internal/soak/timeline/timeline.go
+++ b/internal/soak/timeline/timeline.go
@@ -1,5 +1,5 @@
-// Package timeline remembers which faults were in force when, so that bounds on
-// time are demanded only of what was undisturbed.
+// Package timeline records when which faults were in force, so that time bounds are checked
+// only where no fault interfered.
 package timeline
 
 import (
@@ -9,27 +9,27 @@
 	"time"
 )
 
-// Scope is what a fault strikes.
+// Scope is the part of the system that a fault affects.
 type Scope string
 
 // Scopes of faults.
 const (
-	Process  Scope = "process"  // an instance is killed, paused, stopped or starting
-	Planned  Scope = "planned"  // an instance is being stopped in order
-	Peers    Scope = "peers"    // the ways between instances
-	Store    Scope = "store"    // the store, for everybody
+	Process  Scope = "process"  // an instance is killed, paused, suspended or starting
+	Planned  Scope = "planned"  // an instance is stopping after SIGTERM
+	Peers    Scope = "peers"    // the connections between instances
+	Store    Scope = "store"    // the store, for all instances
 	Door     Scope = "door"     // the store, for one instance
 	Endpoint Scope = "endpoint" // an endpoint or the link to it
-	Load     Scope = "load"     // an endpoint turns requests away, and says so
+	Load     Scope = "load"     // an endpoint rejects requests and asks for a backoff
 )
 
-// Fault is one disturbance of a target, which is a name or, if empty, all.
+// Fault is one fault.
 type Fault struct {
-	Scope  Scope
-	Target string
-	What   string
-	From   time.Time
-	To     time.Time // zero while it lasts
+	Scope       Scope
+	Target      string // name of an instance or endpoint; empty for all
+	Description string
+	From        time.Time
+	To          time.Time // zero while it lasts
 }
 
 // Timeline is the list of faults. It is safe for concurrent use.
@@ -38,9 +38,9 @@
 	faults []*Fault
 }
 
-// Begin notes a fault and returns what ends it.
-func (t *Timeline) Begin(scope Scope, target, what string) (end func()) {
-	f := &Fault{Scope: scope, Target: target, What: what, From: time.Now()}
+// Begin records the beginning of a fault. The returned function records its end.
+func (t *Timeline) Begin(scope Scope, target, description string) (end func()) {
+	f := &Fault{Scope: scope, Target: target, Description: description, From: time.Now()}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.faults = append(t.faults, f)
@@ -53,8 +53,9 @@
 	}
 }
 
-// Calm says whether no fault of the scopes touched a target, or all, between
-// two moments. An empty target asks for faults of any target.
+// Calm reports whether no fault of the scopes affected a target between two moments. Faults
+// without a target affect all targets. With an empty target, Calm considers the faults of
+// all targets.
 func (t *Timeline) Calm(from, to time.Time, target string, scopes ...Scope) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -74,8 +75,8 @@
 	return true
 }
 
-// Around lists the faults that touched the time between two moments, for a
-// report.
+// Around formats the faults in force at any time between two moments, one a line, for the
+// report of a violation. Their times are relative to from.
 func (t *Timeline) Around(from, to time.Time) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -88,7 +89,7 @@
 		if !f.To.IsZero() {
 			end = f.To.Sub(from).Round(time.Millisecond).String()
 		}
-		fmt.Fprintf(&text, "    %s %s %s: %s to %s\n", f.Scope, f.Target, f.What, f.From.Sub(from).Round(time.Millisecond), end)
+		fmt.Fprintf(&text, "    %s %s %s: %s to %s\n", f.Scope, f.Target, f.Description, f.From.Sub(from).Round(time.Millisecond), end)
 	}
 	return text.String()
 }
