--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,6 +1,5 @@
-// Command soak plays randomised runs of real trailshed processes under faults
-// that come from outside them, and checks the promises from what callers and
-// endpoints see. See docs/SOAK.md.
+// Command soak runs real trailshed processes under randomised faults injected from outside,
+// and checks the promises against what callers and endpoints observe. See docs/SOAK.md.
 package main
 
 import (
@@ -24,48 +23,48 @@
 	"github.com/trailshed/trailshed/internal/soak/schedule"
 )
 
-// failed lists seeds that once failed, a line each: the seed, then the cause.
+// failedSeeds lists seeds that failed in the past, one a line: the seed, then the cause.
 //
 //go:embed failed_seeds.txt
-var failed string
+var failedSeeds string
 
 type command struct {
-	Program string        `long:"program" default:"build/trailshed" description:"the program under test"`
-	Dir     string        `long:"dir" default:"build/soak-logs" description:"for settings and logs; logs of good runs are removed"`
-	From    uint64        `long:"from" default:"1" description:"first seed"`
-	Seeds   int           `long:"seeds" default:"1" description:"how many seeds"`
-	Again   bool          `long:"again" description:"run the seeds that once failed instead"`
-	Seconds int           `long:"seconds" default:"20" description:"length of the part with faults"`
-	Jobs    int           `long:"jobs" default:"1" description:"runs at a time"`
-	Zones   int           `long:"zones" default:"3" description:"availability zones"`
-	PerZone int           `long:"per-zone" default:"2" description:"instances in each zone"`
-	Callers int           `long:"callers" default:"24" description:"callers at a time"`
-	Timed   bool          `long:"timed" description:"check bounds on time too; not on a machine that is busy"`
-	Only    string        `long:"only" description:"take steps of this kind only, as internal/soak/schedule names them"`
-	Plain   bool          `long:"plain" description:"leave out poisoned requests and suspended machines"`
-	Most    time.Duration `long:"most" description:"begin no further run after so long; 0: no bound"`
+	Program     string        `long:"program" default:"build/trailshed" description:"the program under test"`
+	Dir         string        `long:"dir" default:"build/soak-logs" description:"for settings and logs; logs of good runs are removed"`
+	FirstSeed   uint64        `long:"from" default:"1" description:"first seed"`
+	Seeds       int           `long:"seeds" default:"1" description:"how many seeds"`
+	FailedSeeds bool          `long:"again" description:"run the seeds that once failed instead"`
+	Seconds     int           `long:"seconds" default:"20" description:"length of the part with faults"`
+	Jobs        int           `long:"jobs" default:"1" description:"runs at a time"`
+	Zones       int           `long:"zones" default:"3" description:"availability zones"`
+	PerZone     int           `long:"per-zone" default:"2" description:"instances in each zone"`
+	Callers     int           `long:"callers" default:"24" description:"callers at a time"`
+	Timed       bool          `long:"timed" description:"check bounds on time too; not on a machine that is busy"`
+	Only        string        `long:"only" description:"take steps of this kind only, as internal/soak/schedule names them"`
+	Plain       bool          `long:"plain" description:"leave out poisoned requests and suspended machines"`
+	MaxTime     time.Duration `long:"most" description:"begin no further run after so long; 0: no bound"`
 }
 
 func main() {
 	if len(os.Args) == 4 && os.Args[1] == "gateway" {
-		os.Exit(instance(os.Args[3]))
+		os.Exit(runGateway(os.Args[3]))
 	}
 	c := &command{}
 	if _, err := flags.NewParser(c, flags.Default).Parse(); err != nil {
 		os.Exit(2)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-	bad := c.run(ctx)
+	failed := c.run(ctx)
 	stop()
-	if bad > 0 {
-		fmt.Printf("%d runs failed\n", bad)
+	if failed > 0 {
+		fmt.Printf("%d runs failed\n", failed)
 		os.Exit(1)
 	}
 }
 
-// instance is the gateway command on a machine that the soak can suspend. Everything
-// but its clocks is the product's.
-func instance(settings string) int {
+// runGateway runs the gateway command with clocks that the soak test can suspend.
+// Everything but the clocks is the product's code.
+func runGateway(settings string) int {
 	source, err := clocks.Open(clocks.Path(settings))
 	if err == nil {
 		err = trailshed.Gateway(settings, source)
@@ -77,7 +76,7 @@
 	return 0
 }
 
-// run plays all seeds and returns how many runs failed.
+// run executes the runs of all seeds and returns how many failed.
 func (c *command) run(ctx context.Context) int {
 	seeds := c.seeds()
 	started := time.Now()
@@ -85,7 +84,7 @@
 	go func() {
 		defer close(next)
 		for _, s := range seeds {
-			if ctx.Err() != nil || c.Most > 0 && time.Since(started) > c.Most {
+			if ctx.Err() != nil || c.MaxTime > 0 && time.Since(started) > c.MaxTime {
 				return
 			}
 			next <- s
@@ -93,31 +92,32 @@
 	}()
 	var group sync.WaitGroup
 	var mu sync.Mutex
-	bad := 0
+	failed := 0
 	for job := range max(c.Jobs, 1) {
 		group.Go(func() {
 			for seed := range next {
-				if !c.play(ctx, job, seed) {
+				if !c.runSeed(ctx, job, seed) {
 					mu.Lock()
-					bad++
+					failed++
 					mu.Unlock()
 				}
 			}
 		})
 	}
 	group.Wait()
-	return bad
+	return failed
 }
 
+// seeds returns the seeds to run.
 func (c *command) seeds() []uint64 {
 	var list []uint64
-	if !c.Again {
+	if !c.FailedSeeds {
 		for n := range c.Seeds {
-			list = append(list, c.From+uint64(n))
+			list = append(list, c.FirstSeed+uint64(n))
 		}
 		return list
 	}
-	for line := range strings.Lines(failed) {
+	for line := range strings.Lines(failedSeeds) {
 		word, _, _ := strings.Cut(strings.TrimSpace(line), " ")
 		if seed, err := strconv.ParseUint(word, 10, 64); err == nil {
 			list = append(list, seed)
@@ -126,20 +126,21 @@
 	return list
 }
 
-// play plays one seed and says whether all promises were kept.
-func (c *command) play(ctx context.Context, job int, seed uint64) bool {
+// runSeed executes the run of one seed and prints the result. It reports whether the fleet
+// recovered and all promises were kept.
+func (c *command) runSeed(ctx context.Context, job int, seed uint64) bool {
 	o := fleet.Options{
 		Program: c.Program, Dir: c.Dir, Seed: seed, Length: time.Duration(c.Seconds) * time.Second,
 		Network: network(job), PerZone: c.PerZone, Callers: c.Callers, Timed: c.Timed, Only: schedule.Kind(c.Only),
 	}
-	o.More = !c.Plain && !c.Again
+	o.More = !c.Plain && !c.FailedSeeds
 	if o.More || o.Only == schedule.Suspend {
 		if self, err := os.Executable(); err == nil {
 			o.Program = self
 		}
 	}
-	for n := range c.Zones {
-		o.Zones = append(o.Zones, string(rune('a'+n)))
+	for zone := range c.Zones {
+		o.Zones = append(o.Zones, string(rune('a'+zone)))
 	}
 	r, err := fleet.Run(ctx, o)
 	fmt.Printf("seed %d: %d steps, %d of %d requests answered well, %d violations\n", seed, r.Steps, r.Good, r.All, len(r.Violations))
@@ -156,7 +157,8 @@
 	return good
 }
 
-// network gives each job of each soak process loopback addresses of its own.
+// network returns a loopback network for a job. Jobs and concurrent soak processes use
+// different networks; those of processes whose IDs are equal modulo 250 may coincide.
 func network(job int) netip.Addr {
 	return netip.AddrFrom4([4]byte{127, byte(1 + os.Getpid()%250), byte(1 + job), 0})
 }
