--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -33,7 +33,7 @@
 `
 
 // A plan gives the same figures however many runs are made in parallel.
-func TestRunsRepeat(t *testing.T) {
+func TestRunsAreReproducible(t *testing.T) {
 	c := qt.New(t)
 	var texts []string
 	for _, jobs := range []int{1, 4} {
@@ -69,7 +69,7 @@
 }
 
 // All policies get the same requests for a seed, and faults do not change the arrivals.
-func TestRunsOfASeedArePairs(t *testing.T) {
+func TestPoliciesGetTheSameRequests(t *testing.T) {
 	c := qt.New(t)
 	with := plan(t, shortPlan)
 	without := plan(t, shortPlan)
@@ -80,7 +80,7 @@
 	c.Assert(with.Run("joint", 5).RequestsBySecond, qt.Not(qt.DeepEquals), first.RequestsBySecond)
 }
 
-func TestFaultsAndLoadShow(t *testing.T) {
+func TestFaultsAndLoadAffectOutcomes(t *testing.T) {
 	tests := []struct {
 		name   string
 		text   string
@@ -111,7 +111,7 @@
 	}
 }
 
-func TestWrongPlans(t *testing.T) {
+func TestInvalidPlans(t *testing.T) {
 	tests := []struct{ text, want string }{
 		{"fleet: {slots: 0}", `plan.yaml: fleet.slots: "0" breaks the rule min 1`},
 		{"policies: [joint, best]", `plan.yaml: policies[1]: "best" breaks the rule oneof joint lagged round_robin`},
--- a/internal/experiment/outcome.go
+++ b/internal/experiment/outcome.go
@@ -26,8 +26,8 @@
 	PrefillTokens         int64    `json:"read_tokens"`   // prompt tokens processed
 	WastedTokens          int64    `json:"wasted_tokens"` // prompt tokens processed in attempts that did not finish
 	FirstTokenP50         int64    `json:"first_p50_ms"`  // median time to the first token of answered requests
-	FirstTokenP99         int64    `json:"first_p99_ms"`  // 99th percentile of the same
-	FirstTokenPercentiles []int64  `json:"firsts_ms"`     // all percentiles of the same, from 0 to 100
+	FirstTokenP99         int64    `json:"first_p99_ms"`  // 99th percentile
+	FirstTokenPercentiles []int64  `json:"firsts_ms"`     // all percentiles, from 0 to 100
 	RequestsBySecond      []int    `json:"asked_by_s"`    // by second of arrival
 	InTimeBySecond        []int    `json:"in_time_by_s"`  // by second of arrival
 	Violations            []string `json:"violations"`    // invariants that the decisions violated
