--- a/internal/soak/link/link_test.go
+++ b/internal/soak/link/link_test.go
@@ -76,7 +76,7 @@
 }
 
 // Data that a link held back passes completely and in order once the fault ends.
-func TestHeldBytesPassLater(t *testing.T) {
+func TestHeldDataIsForwarded(t *testing.T) {
 	tests := []struct {
 		name  string
 		fault link.Fault
@@ -100,7 +100,7 @@
 	}
 }
 
-func TestResetsAreSeen(t *testing.T) {
+func TestReset(t *testing.T) {
 	l, c := open(t)
 	send(t, c, "one")
 	qt.Assert(t, receive(t, c, 3), qt.Equals, "one")
