--- a/internal/soak/program/program_test.go
+++ b/internal/soak/program/program_test.go
@@ -19,7 +19,7 @@
 // A process that exits by itself, or with an error after SIGTERM, is reported as failed.
 // One that was killed, stopped without an error, or was stopped before it had started is
 // not.
-func TestEndsAreJudged(t *testing.T) {
+func TestFailuresAreReported(t *testing.T) {
 	tests := []struct {
 		name    string
 		script  string
@@ -62,7 +62,7 @@
 
 // The wait for the exit of a process is not extended by the next process. When it was, two
 // steps that killed all instances delayed the soak test by three minutes.
-func TestEndOfOneLife(t *testing.T) {
+func TestWaitEndsWithItsProcess(t *testing.T) {
 	c := qt.New(t)
 	dir := t.TempDir()
 	file := filepath.Join(dir, "script")
