--- a/internal/soak/fleet/endpoint.go
+++ b/internal/soak/fleet/endpoint.go
@@ -142,8 +142,8 @@
 	return f.replace(e)
 }
 
-// handlePoison completes the crash of an endpoint by a poisoned request, as for any other
-// crash.
+// handlePoison completes the crash of an endpoint by a poisoned request in the same way as
+// any other crash.
 func (f *Fleet) handlePoison(e *endpoint) {
 	e.link.Set(link.Refused)
 	e.link.Reset()
--- a/internal/soak/fleet/fleet.go
+++ b/internal/soak/fleet/fleet.go
@@ -120,6 +120,7 @@
 	return schedule.Join(steps, schedule.More(f.Seed, f.Length))
 }
 
+// bounds returns the bounds that the checker applies to a run.
 func bounds(timed bool) checker.Bounds {
 	return checker.Bounds{
 		Contact: 3 * time.Second, Drain: 2 * time.Second, Config: 2 * time.Second, Outer: 5 * time.Second,
--- a/internal/soak/fleet/steps.go
+++ b/internal/soak/fleet/steps.go
@@ -128,15 +128,15 @@
 
 // kill kills instances at the same moment and restarts them.
 func (f *Fleet) kill(ctx context.Context, length time.Duration, instances ...*instance) error {
-	var ended []<-chan struct{}
+	var exits []<-chan struct{}
 	for _, i := range instances {
 		end := f.faults.Begin(timeline.Process, i.name, "kill")
 		defer end()
-		ended = append(ended, i.program.Signal(syscall.SIGKILL))
+		exits = append(exits, i.program.Signal(syscall.SIGKILL))
 	}
 	sleep(ctx, length/4)
-	for _, life := range ended {
-		program.Over(life, waitTimeout)
+	for _, exited := range exits {
+		program.Over(exited, waitTimeout)
 	}
 	return f.restart(ctx, instances...)
 }
@@ -193,7 +193,7 @@
 	end := f.faults.Begin(timeline.Planned, i.name, "stop")
 	defer end()
 	signalled := time.Now()
-	if ended := i.program.Signal(syscall.SIGTERM); !program.Over(ended, 2*grace) {
+	if exited := i.program.Signal(syscall.SIGTERM); !program.Over(exited, 2*grace) {
 		f.checker.Outlived(i.name, i.program.Life(), signalled)
 		i.program.Signal(syscall.SIGCONT) // in case another step has paused it
 		program.Over(i.program.Signal(syscall.SIGKILL), waitTimeout)
