--- a/internal/caller/completions.go
+++ b/internal/caller/completions.go
@@ -95,14 +95,14 @@
 	}
 	req.Tokens = (len(req.Prompt) + bytesPerToken - 1) / bytesPerToken
 	if req.Tokens > f.settings.PromptLimit {
-		return newProblem(http.StatusBadRequest, "prompt_too_long", "prompt", "The prompt exceeds the length limit.")
+		return newProblem(http.StatusBadRequest, "prompt_too_long", "prompt", "The prompt is over the limit.")
 	}
 	req.MaxTokens = min(defaultMaxTokens, f.settings.AnswerLimit)
 	if c.MaxTokens != nil {
 		req.MaxTokens = *c.MaxTokens
 	}
 	if req.MaxTokens < 1 || req.MaxTokens > f.settings.AnswerLimit {
-		return newProblem(http.StatusBadRequest, "max_tokens_out_of_range", "max_tokens", "The maximum answer length must be positive and within the limit.")
+		return newProblem(http.StatusBadRequest, "max_tokens_out_of_range", "max_tokens", "The answer's length must be positive and within the limit.")
 	}
 	req.Blocks = prefixBlocks(req.Workspace, req.Prompt)
 	return nil
--- a/internal/caller/front.go
+++ b/internal/caller/front.go
@@ -56,10 +56,10 @@
 	r.HandleFunc("/v1/services/{name}/*", f.service)
 	r.HandleFunc("/v1/services/{name}", f.service)
 	r.NotFound(func(w http.ResponseWriter, r *http.Request) {
-		newProblem(http.StatusNotFound, "not_found", "path", "There is no resource at "+r.URL.Path+".").write(w)
+		newProblem(http.StatusNotFound, "not_found", "path", "There is nothing at "+r.URL.Path+".").write(w)
 	})
 	r.MethodNotAllowed(func(w http.ResponseWriter, r *http.Request) {
-		newProblem(http.StatusMethodNotAllowed, "method_not_allowed", "method", "The method "+r.Method+" is not allowed on this path.").write(w)
+		newProblem(http.StatusMethodNotAllowed, "method_not_allowed", "method", "This path takes no "+r.Method+".").write(w)
 	})
 	return r
 }
@@ -78,15 +78,15 @@
 	sum := sha256.Sum256([]byte(key))
 	req.Workspace, _ = f.catalog().WorkspaceOf(hex.EncodeToString(sum[:]))
 	if !ok || req.Workspace == "" {
-		return req, nil, newProblem(http.StatusUnauthorized, "unknown_key", "Authorization", "The request must have a valid bearer key.")
+		return req, nil, newProblem(http.StatusUnauthorized, "unknown_key", "Authorization", "A known bearer key must be given.")
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(f.settings.BodyLimit)))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return req, nil, newProblem(http.StatusRequestEntityTooLarge, "body_too_large", "body", "The body exceeds the size limit.")
+		return req, nil, newProblem(http.StatusRequestEntityTooLarge, "body_too_large", "body", "The body is over the limit.")
 	}
 	if err != nil {
-		return req, nil, newProblem(http.StatusBadRequest, "body_unreadable", "body", "The body could not be read completely.")
+		return req, nil, newProblem(http.StatusBadRequest, "body_unreadable", "body", "The body did not arrive whole.")
 	}
 	req.Digest = xxhash.Sum64(body)
 	return req, body, nil
@@ -103,7 +103,7 @@
 		return newProblem(http.StatusBadRequest, "kind_mismatch", field, "The kind "+quoted(name)+" is not served by "+quoted(serves)+".")
 	}
 	if kind.Repeat == catalog.RepeatNever && kind.KeyRequired && req.Key == "" {
-		return newProblem(http.StatusBadRequest, "key_required", headerKey, "Requests of this kind may not be repeated and require an idempotency key.")
+		return newProblem(http.StatusBadRequest, "key_required", headerKey, "This kind may not be repeated and needs an idempotency key.")
 	}
 	req.Kind = name
 	return nil
--- a/internal/caller/problem.go
+++ b/internal/caller/problem.go
@@ -34,7 +34,7 @@
 var messages = map[entry.Result]string{
 	entry.RefusedNotRun:    "The request was not run.",
 	entry.FailedMayHaveRun: "The request failed; it may have run.",
-	entry.FailedAfterStart: "The answer was interrupted and is incomplete.",
+	entry.FailedAfterStart: "The answer broke off; it is not whole.",
 }
 
 // outcomeProblem returns the problem of a request that was not answered.
@@ -46,7 +46,7 @@
 	switch {
 	case o.Taken != nil:
 		p.status = http.StatusConflict
-		p.Message = "An earlier request with this key may have run; its answer is no longer available."
+		p.Message = "An earlier request with this key may have run; its answer is not held any more."
 	case o.Result == entry.RefusedNotRun && o.RetryAfter == 0:
 		p.status = http.StatusUnprocessableEntity
 	}
--- a/internal/forward/workspace.go
+++ b/internal/forward/workspace.go
@@ -34,7 +34,7 @@
 		reason = "unknown_key"
 	}
 	p.Scope.Tagged(map[string]string{"reason": reason}).Counter("keys_refused").Inc(1)
-	p.reject(http.StatusUnauthorized, reason, Error.New("the request has no API key or an unknown one"))
+	p.reject(http.StatusUnauthorized, reason, Error.New("the request has no key that is known here"))
 	return false
 }
 
