--- a/internal/eventlog/event.go
+++ b/internal/eventlog/event.go
@@ -1,6 +1,6 @@
 package eventlog
 
-// Event names what a line tells.
+// Event is the kind of event that a line records.
 type Event string
 
 // Events of the process.
--- a/internal/eventlog/log.go
+++ b/internal/eventlog/log.go
@@ -1,7 +1,7 @@
-// Package eventlog writes the process's log: JSON lines to one writer, one for
-// each decision that touches a request or changes what the process believes.
-// Writing never blocks: lines wait in a bounded ring, and what the reader of
-// the output is too slow for is dropped and counted.
+// Package eventlog writes the process's log as JSON lines to one writer: one
+// line for each decision that affects a request or changes the process's view of
+// other systems. Writing never blocks: lines wait in a bounded queue, and lines
+// that do not fit because the output is too slow are dropped and counted.
 package eventlog
 
 import (
@@ -13,97 +13,99 @@
 	"golang.org/x/time/rate"
 )
 
-// ringLines is how many lines may wait for the reader of the output; at about
-// 300 bytes each they hold 300 kB.
-const ringLines = 1000
+// maxQueuedLines is how many lines may wait for the output; at about 300 bytes
+// each they take 300 kB.
+const maxQueuedLines = 1000
 
-// Log writes lines. Its methods may be called from any goroutine.
+// Log writes lines. It is safe for concurrent use.
 type Log struct {
-	logger  zerolog.Logger
-	ring    *ring
-	routine *rate.Limiter
-	told    atomic.Int64 // of the dropped lines, how many a line has told
-	sampled atomic.Int64 // lines left out on purpose
+	logger    zerolog.Logger
+	queue     *queue
+	immediate *rate.Limiter
+	reported  atomic.Int64 // value of Dropped in the last lines_dropped line
+	sampled   atomic.Int64 // lines left out by sampling
 }
 
-// Open returns a log of the instance called name that writes to out.
+// Open returns a log that writes to out; each line carries name as its instance.
 func Open(out io.Writer, name string) *Log {
-	l := &Log{routine: routine(), ring: newRing(out, ringLines)}
-	l.logger = zerolog.New(l.ring).With().Str("instance", name).Logger()
+	l := &Log{immediate: newImmediateLimiter(), queue: newQueue(out, maxQueuedLines)}
+	l.logger = zerolog.New(l.queue).With().Str("instance", name).Logger()
 	return l
 }
 
-// Line is one decision or change. Zero fields are left out.
+// Line is one decision or change. Fields with a zero value are not written.
 type Line struct {
 	Event     Event
-	At        int64         // ms since 1970; 0: when it is written
-	Request   string        // id of the request it touches
-	Work      string        // fingerprint of what it asks for: the same for all its tries
-	Attempt   int           // send within the request, from 1
-	Route     string        //
-	Service   string        //
-	Workspace string        // name of the workspace whose request it is
-	Endpoint  string        // id of the endpoint
-	Address   string        // of the endpoint or peer
-	Prefill   string        // id of the prefill engine
-	Zone      string        //
-	Wait      time.Duration // predicted
-	Outcome   string        //
-	Reason    string        // why; a fixed word
+	At        int64  // ms since 1970; 0 stands for the time of the call of Write
+	Request   string // ID of the request concerned
+	Work      string // fingerprint of the request's content: the same for all its attempts
+	Attempt   int    // number of the attempt within the request, from 1
+	Route     string
+	Service   string
+	Workspace string // name of the workspace that sent the request
+	Endpoint  string // ID of the endpoint
+	Address   string // of the endpoint or peer
+	Prefill   string // ID of the prefill engine
+	Zone      string
+	Wait      time.Duration // predicted wait, or the wait that a refused caller is given
+	Outcome   string
+	Reason    string        // reason code
 	Detail    string        // free text, such as an error
 	Status    int           // HTTP status
-	Took      time.Duration // since the request arrived, or the length of what ended
+	Took      time.Duration // time since the request arrived, or the length of a period
 	First     time.Duration // from the request's arrival to its first event
-	Predicted time.Duration // the same, predicted when it got its place
-	Left      time.Duration // until the request's limit
-	Age       time.Duration // of the input that decided
+	Predicted time.Duration // First as predicted when the request was placed
+	Left      time.Duration // time until the request's deadline
+	Age       time.Duration // of the data that the decision was based on
 	Version   int64         // of the configuration
 	Revision  int64         // of the store
-	Count     int64         //
+	Count     int64
 }
 
-// Write writes one line.
-func (l *Log) Write(n Line) {
-	if dropped := l.Dropped(); dropped > l.told.Load() {
-		l.told.Store(dropped)
+// Write queues one line. It first writes a lines_dropped line if lines were dropped
+// since the last one.
+func (l *Log) Write(line Line) {
+	if dropped := l.Dropped(); dropped > l.reported.Load() {
+		l.reported.Store(dropped)
 		begin(l.logger.Log(), 0, LinesDropped).Int64("count", dropped).Send()
 	}
-	e := begin(l.logger.Log(), n.At, n.Event)
-	text(e, "request", n.Request)
-	text(e, "work", n.Work)
-	number(e, "attempt", int64(n.Attempt))
-	text(e, "route", n.Route)
-	text(e, "service", n.Service)
-	text(e, "workspace", n.Workspace)
-	text(e, "endpoint", n.Endpoint)
-	text(e, "address", n.Address)
-	text(e, "prefill", n.Prefill)
-	text(e, "zone", n.Zone)
-	number(e, "wait_ms", n.Wait.Milliseconds())
-	text(e, "outcome", n.Outcome)
-	text(e, "reason", n.Reason)
-	text(e, "detail", n.Detail)
-	number(e, "status", int64(n.Status))
-	number(e, "took_ms", n.Took.Milliseconds())
-	number(e, "first_ms", n.First.Milliseconds())
-	number(e, "predicted_ms", n.Predicted.Milliseconds())
-	number(e, "left_ms", n.Left.Milliseconds())
-	number(e, "age_ms", n.Age.Milliseconds())
-	number(e, "version", n.Version)
-	number(e, "revision", n.Revision)
-	number(e, "count", n.Count)
+	e := begin(l.logger.Log(), line.At, line.Event)
+	addText(e, "request", line.Request)
+	addText(e, "work", line.Work)
+	addInt(e, "attempt", int64(line.Attempt))
+	addText(e, "route", line.Route)
+	addText(e, "service", line.Service)
+	addText(e, "workspace", line.Workspace)
+	addText(e, "endpoint", line.Endpoint)
+	addText(e, "address", line.Address)
+	addText(e, "prefill", line.Prefill)
+	addText(e, "zone", line.Zone)
+	addInt(e, "wait_ms", line.Wait.Milliseconds())
+	addText(e, "outcome", line.Outcome)
+	addText(e, "reason", line.Reason)
+	addText(e, "detail", line.Detail)
+	addInt(e, "status", int64(line.Status))
+	addInt(e, "took_ms", line.Took.Milliseconds())
+	addInt(e, "first_ms", line.First.Milliseconds())
+	addInt(e, "predicted_ms", line.Predicted.Milliseconds())
+	addInt(e, "left_ms", line.Left.Milliseconds())
+	addInt(e, "age_ms", line.Age.Milliseconds())
+	addInt(e, "version", line.Version)
+	addInt(e, "revision", line.Revision)
+	addInt(e, "count", line.Count)
 	e.Send()
 }
 
-// Dropped is how many lines were lost because the output was too slow or
+// Dropped returns how many lines were lost because the output was too slow or
 // failed.
-func (l *Log) Dropped() int64 { return l.ring.dropped.Load() }
+func (l *Log) Dropped() int64 { return l.queue.dropped.Load() }
 
-// Close returns once what was written before is at the output, with the first
-// error of the output. Lines written later are lost.
-func (l *Log) Close() error { return l.ring.Close() }
+// Close waits until the output has received all lines written so far and returns
+// the first error of the output. Lines written later are lost.
+func (l *Log) Close() error { return l.queue.Close() }
 
-// begin writes the time, in milliseconds since 1970, and the event.
+// begin adds the time, in milliseconds since 1970, and the event; if at is 0, the
+// time is now.
 func begin(e *zerolog.Event, at int64, name Event) *zerolog.Event {
 	if at == 0 {
 		at = time.Now().UnixMilli()
@@ -111,13 +113,13 @@
 	return e.Int64("time", at).Str("event", string(name))
 }
 
-func text(e *zerolog.Event, key, value string) {
+func addText(e *zerolog.Event, key, value string) {
 	if value != "" {
 		e.Str(key, value)
 	}
 }
 
-func number(e *zerolog.Event, key string, value int64) {
+func addInt(e *zerolog.Event, key string, value int64) {
 	if value != 0 {
 		e.Int64(key, value)
 	}
--- a/internal/eventlog/log_test.go
+++ b/internal/eventlog/log_test.go
@@ -17,7 +17,7 @@
 	"github.com/trailshed/trailshed/internal/eventlog"
 )
 
-// events returns the constants of event.go with their values.
+// events returns the constants of event.go by name, with their values.
 func events(t *testing.T) map[string]string {
 	file, err := parser.ParseFile(token.NewFileSet(), "event.go", nil, 0)
 	qt.Assert(t, err, qt.IsNil)
@@ -31,7 +31,7 @@
 	return found
 }
 
-// Every event of the list is written somewhere, and explained to operators.
+// Every event is written somewhere in the code and described in LOGGING.md.
 func TestEveryEventIsWrittenAndExplained(t *testing.T) {
 	var code strings.Builder
 	err := filepath.WalkDir("..", func(path string, _ os.DirEntry, err error) error {
@@ -52,28 +52,28 @@
 	}
 }
 
-// stuck is an output whose reader stands still.
-type stuck struct {
+// stalledWriter is an output that blocks until released.
+type stalledWriter struct {
 	release chan struct{}
 	once    sync.Once
 	begun   chan struct{}
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *stalledWriter) Write(p []byte) (int, error) {
 	s.once.Do(func() { close(s.begun) })
 	<-s.release
 	return len(p), nil
 }
 
-// A reader that stands still holds nobody up; what it missed is counted and
-// told once it reads again.
+// An output that blocks does not block writers of the log; the lines that it misses
+// are counted as dropped.
 func TestStalledReader(t *testing.T) {
 	c := qt.New(t)
-	out := &stuck{release: make(chan struct{}), begun: make(chan struct{})}
+	out := &stalledWriter{release: make(chan struct{}), begun: make(chan struct{})}
 	log := eventlog.Open(out, "n1")
 	log.Write(eventlog.Line{Event: eventlog.Started})
 	<-out.begun
-	for range 5000 { // returns although nothing is read
+	for range 5000 { // returns although the output blocks
 		log.Write(eventlog.Line{Event: eventlog.Sent, Request: "r"})
 	}
 	close(out.release)
@@ -81,18 +81,18 @@
 	c.Assert(log.Dropped() > 0, qt.IsTrue)
 }
 
-// heard passes on each line that was written.
-type heard chan struct{}
+// notifyWriter signals each line that was written.
+type notifyWriter chan struct{}
 
-func (h heard) Write(p []byte) (int, error) {
+func (h notifyWriter) Write(p []byte) (int, error) {
 	h <- struct{}{}
 	return len(p), nil
 }
 
-// A line reaches the output though no further line is written after it.
+// A line reaches the output without another line being written after it.
 func TestEachLineArrivesAlone(t *testing.T) {
-	const lines = 100_000 // a wake-up lost one time in ten thousand still shows
-	out := make(heard)
+	const lines = 100_000 // enough to show a wake-up that is lost once in ten thousand lines
+	out := make(notifyWriter)
 	log := eventlog.Open(out, "n1")
 	for range lines {
 		log.Write(eventlog.Line{Event: eventlog.Started})
@@ -101,8 +101,8 @@
 	qt.Assert(t, log.Close(), qt.IsNil)
 }
 
-// Under load, lines of requests that were served in time are left out; all
-// lines of the others are written, with the times at which things happened.
+// Under load, the lines of requests that were served in time are left out; all
+// lines of other requests are written.
 func TestTrailsUnderLoad(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -114,7 +114,7 @@
 			c := qt.New(t)
 			var out bytes.Buffer
 			log := eventlog.Open(&out, "n1")
-			for range 300 { // more than may be written as they come
+			for range 300 { // more than immediateBurst
 				log.Trail().End(true)
 			}
 			trail := log.Trail()
--- /dev/null
+++ b/internal/eventlog/sampling.go
@@ -0,0 +1,58 @@
+package eventlog
+
+import (
+	"time"
+
+	"golang.org/x/time/rate"
+)
+
+const (
+	// immediateRate and immediateBurst limit how many requests a second have
+	// their lines written immediately, whatever their outcome. Lines of further
+	// requests are held until the outcome is known and left out if the request was
+	// served in time. At five lines a request and 300 bytes a line the rate
+	// amounts to 60 kB a second.
+	immediateRate  = 40
+	immediateBurst = 80
+)
+
+// Trail collects the lines of one request.
+type Trail struct {
+	log       *Log
+	held      []Line
+	immediate bool // lines are written without waiting for the outcome
+}
+
+// newImmediateLimiter returns the limiter of requests whose lines are written
+// immediately.
+func newImmediateLimiter() *rate.Limiter { return rate.NewLimiter(immediateRate, immediateBurst) }
+
+// Trail returns the trail of a request that has just arrived.
+func (l *Log) Trail() *Trail { return &Trail{log: l, immediate: l.immediate.Allow()} }
+
+// Write writes one line, or holds it with the present time until End.
+func (t *Trail) Write(line Line) {
+	if t.immediate {
+		t.log.Write(line)
+		return
+	}
+	line.At = time.Now().UnixMilli()
+	t.held = append(t.held, line)
+}
+
+// End writes the lines held so far, or leaves them out if the request was served in
+// time.
+func (t *Trail) End(served bool) {
+	if served {
+		t.log.sampled.Add(int64(len(t.held)))
+		t.held = nil
+		return
+	}
+	for _, line := range t.held {
+		t.log.Write(line)
+	}
+	t.held, t.immediate = nil, true
+}
+
+// Sampled returns how many lines of requests served in time were left out.
+func (l *Log) Sampled() int64 { return l.sampled.Load() }
