--- a/internal/story/story.go
+++ b/internal/story/story.go
@@ -1,6 +1,6 @@
-// Package story joins the log lines of several processes into what happened to
-// one request: its own lines in order, and between them what its instance came
-// to believe of the store and of the endpoints it met.
+// Package story reconstructs what happened to one request from the logs of
+// several processes: the request's own lines in order of time, and between them
+// the changes in its instances' view of the store and of the endpoints involved.
 package story
 
 import (
@@ -48,17 +48,19 @@
 	raw []byte
 }
 
-// before is how long before a request's arrival beliefs are told.
-const before = 5 * time.Second
+// beliefWindow is how long before a request's first line lines that name no request are
+// included.
+const beliefWindow = 5 * time.Second
 
-// Story is one request's.
+// Story is the selected log lines of one request, in order of time.
 type Story struct {
 	Request string
 	Entries []Entry
 }
 
-// Read takes logs of any number of processes, one JSON object a line; what
-// stands before the object on a line, such as a collector's time, is skipped.
+// Read reads the logs of any number of processes, one JSON object a line. Text
+// before the object, such as a log collector's timestamp, is skipped, as are lines
+// that cannot be parsed.
 func Read(r io.Reader, request string) (*Story, error) {
 	var all []Entry
 	scan := bufio.NewScanner(r)
@@ -71,7 +73,7 @@
 		}
 		e := Entry{raw: slices.Clone(line[start:])}
 		if err := json.Unmarshal(e.raw, &e); err != nil {
-			continue // a line that was cut off, or of another program
+			continue // truncated, or written by another program
 		}
 		if e.Request == "" || e.Request == request {
 			all = append(all, e)
@@ -80,10 +82,13 @@
 	if err := scan.Err(); err != nil {
 		return nil, Error.Wrap(err)
 	}
-	return choose(all, request)
+	return selectEntries(all, request)
 }
 
-func choose(all []Entry, request string) (*Story, error) {
+// selectEntries returns the lines of the request and, shortly before and during it,
+// those lines of its instances that name no request and either no endpoint or one
+// that the request used.
+func selectEntries(all []Entry, request string) (*Story, error) {
 	slices.SortStableFunc(all, func(a, b Entry) int { return cmp.Compare(a.Time, b.Time) })
 	instances, endpoints := map[string]bool{}, map[string]bool{}
 	var first, last int64
@@ -98,11 +103,11 @@
 		last = e.Time
 	}
 	if first == 0 {
-		return nil, Error.New("no line names request %q; it reached no process whose log this is, or was served in time and left out", request)
+		return nil, Error.New("no line names request %q: it did not reach any process whose log was read, or it was served in time and its lines were left out by sampling", request)
 	}
 	s := &Story{Request: request}
 	for _, e := range all {
-		near := e.Time >= first-before.Milliseconds() && e.Time <= last
+		near := e.Time >= first-beliefWindow.Milliseconds() && e.Time <= last
 		about := e.Endpoint == "" || endpoints[e.Endpoint]
 		if e.Request == request || near && about && instances[e.Instance] {
 			s.Entries = append(s.Entries, e)
@@ -111,7 +116,7 @@
 	return s, nil
 }
 
-// Write tells the story in plain words, one line each.
+// Write prints one sentence for each line, with the time since the request's first.
 func (s *Story) Write(w io.Writer) error {
 	start := int64(0)
 	for _, e := range s.Entries {
@@ -121,7 +126,7 @@
 		}
 	}
 	for _, e := range s.Entries {
-		if _, err := fmt.Fprintf(w, "%+7d ms  %s  %s\n", e.Time-start, e.Instance, words(e)); err != nil {
+		if _, err := fmt.Fprintf(w, "%+7d ms  %s  %s\n", e.Time-start, e.Instance, describe(e)); err != nil {
 			return Error.Wrap(err)
 		}
 	}
@@ -138,23 +143,23 @@
 	return nil
 }
 
-// words says one line in plain words.
-func words(e Entry) string {
+// describe returns a sentence for one line.
+func describe(e Entry) string {
 	text := map[eventlog.Event]string{
-		eventlog.Placed:          fmt.Sprintf("was given decode engine %s%s in zone %s; that engine was estimated to hold %d tokens", e.Endpoint, reader(e), e.Zone, e.Count),
+		eventlog.Placed:          fmt.Sprintf("was assigned decode engine %s%s in zone %s; that engine was estimated to hold %d tokens", e.Endpoint, prefillText(e), e.Zone, e.Count),
 		eventlog.Sent:            fmt.Sprintf("send %d to endpoint %s of %s, with %d ms left, under configuration %d", e.Attempt, e.Endpoint, e.Service, e.Left, e.Version),
 		eventlog.PrefillFailed:   fmt.Sprintf("prefill engine %s failed", e.Endpoint),
 		eventlog.EndpointFailed:  fmt.Sprintf("endpoint %s failed this request (%s)", e.Endpoint, e.Reason),
-		eventlog.EndpointEjected: fmt.Sprintf("endpoint %s is left alone for %d ms (%s)", e.Endpoint, e.Took, e.Reason),
-		eventlog.Repeated:        fmt.Sprintf("is sent again because of %s", e.Reason),
-		eventlog.Resumed:         fmt.Sprintf("the stream goes on elsewhere because of %s", e.Reason),
-		eventlog.BudgetSpent:     "may not be sent again: the retry budget is spent",
+		eventlog.EndpointEjected: fmt.Sprintf("endpoint %s is ejected for %d ms (%s)", e.Endpoint, e.Took, e.Reason),
+		eventlog.Repeated:        fmt.Sprintf("is retried because of %s", e.Reason),
+		eventlog.Resumed:         fmt.Sprintf("the stream is resumed on another endpoint because of %s", e.Reason),
+		eventlog.BudgetSpent:     "is not retried: the retry budget is exhausted",
 		eventlog.Answered:        fmt.Sprintf("answered with status %d after %d ms, %s", e.Status, e.Took, strings.ReplaceAll(e.Outcome, "_", " ")),
-		eventlog.Refused:         fmt.Sprintf("refused with status %d after %d ms, not run: %s; told to come back after %d ms", e.Status, e.Took, e.Reason, e.Wait),
-		eventlog.GaveUp:          fmt.Sprintf("given up with status %d after %d ms, may have run: %s", e.Status, e.Took, e.Reason),
-		eventlog.Broken:          fmt.Sprintf("the answer was broken off after %d ms: %s", e.Took, e.Reason),
-		eventlog.Cancelled:       fmt.Sprintf("the caller left after %d ms", e.Took),
-		eventlog.Believed:        fmt.Sprintf("belief: %s %s%s at revision %d", strings.ReplaceAll(e.Outcome, "_", " "), e.Endpoint, version(e), e.Revision),
+		eventlog.Refused:         fmt.Sprintf("refused with status %d after %d ms, not run: %s; the caller may retry after %d ms", e.Status, e.Took, e.Reason, e.Wait),
+		eventlog.GaveUp:          fmt.Sprintf("failed with status %d after %d ms, may have run: %s", e.Status, e.Took, e.Reason),
+		eventlog.Broken:          fmt.Sprintf("the response was aborted after %d ms: %s", e.Took, e.Reason),
+		eventlog.Cancelled:       fmt.Sprintf("the caller disconnected after %d ms", e.Took),
+		eventlog.Believed:        fmt.Sprintf("belief: %s %s%s at revision %d", strings.ReplaceAll(e.Outcome, "_", " "), e.Endpoint, versionText(e), e.Revision),
 	}[e.Event]
 	if text == "" {
 		text = strings.ReplaceAll(string(e.Event), "_", " ")
@@ -165,14 +170,14 @@
 	return text
 }
 
-func reader(e Entry) string {
+func prefillText(e Entry) string {
 	if e.Prefill == "" {
-		return ", which reads the prompt itself,"
+		return ", which computes the prefill itself,"
 	}
 	return fmt.Sprintf(" and prefill engine %s (predicted wait %d ms)", e.Prefill, e.Wait)
 }
 
-func version(e Entry) string {
+func versionText(e Entry) string {
 	if e.Version == 0 {
 		return ""
 	}
--- a/internal/trace/player.go
+++ b/internal/trace/player.go
@@ -15,25 +15,27 @@
 	"time"
 )
 
-// callerPatience is how long a replayed caller waits for its whole answer.
-const callerPatience = 60 * time.Second
+// callerTimeout is how long a replayed caller waits for its complete answer.
+const callerTimeout = 60 * time.Second
 
-// Player replays traces against processes, each request to the next target.
+// Player replays traces against several processes, to which it sends requests in
+// turn.
 type Player struct {
 	Targets []netip.AddrPort
-	Speed   float64 // 1 is as recorded
+	Speed   float64 // 1 replays at the recorded speed, 2 twice as fast
 	client  *http.Client
 }
 
-// NewPlayer returns a player of recorded speed.
+// NewPlayer returns a player that replays at the recorded speed.
 func NewPlayer(targets []netip.AddrPort) *Player {
 	return &Player{Targets: targets, Speed: 1, client: &http.Client{
 		Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true},
-		Timeout:   callerPatience,
+		Timeout:   callerTimeout,
 	}}
 }
 
-// Play sends every request at its time and returns what came of them.
+// Play sends every request at its recorded time and reports the results. When ctx
+// ends it sends no further requests.
 func (p *Player) Play(ctx context.Context, t *Trace) *Report {
 	report := newReport(t.Header)
 	start := time.Now()
@@ -46,40 +48,40 @@
 			group.Wait()
 			return report
 		}
-		group.Go(func() { p.play(ctx, report, r, i) })
+		group.Go(func() { p.playRequest(ctx, report, r, i) })
 	}
 	group.Wait()
 	report.Elapsed = time.Since(start)
 	return report
 }
 
-func (p *Player) play(ctx context.Context, report *Report, r Request, i int) {
+func (p *Player) playRequest(ctx context.Context, report *Report, r Request, i int) {
 	var group sync.WaitGroup
 	if r.AgainMS > 0 {
-		group.Go(func() { // the caller asks again, elsewhere, with the same key
+		group.Go(func() { // the caller repeats the request with the same key, at the next target
 			select {
 			case <-time.After(time.Duration(r.AgainMS) * time.Millisecond):
 			case <-ctx.Done():
 			}
-			report.again(p.send(ctx, r, i+1))
+			report.addRepeat(p.send(ctx, r, i+1))
 		})
 	}
 	report.add(r, p.send(ctx, r, i))
 	group.Wait()
 }
 
-// result is one caller's experience.
+// result is the outcome of one send as the caller sees it.
 type result struct {
-	status  int
-	reason  string // of a refusal or failure
-	outcome string
-	retry   bool // told when to come back
-	digest  uint64
-	whole   bool
-	lost    bool // no final answer came
-	gone    bool // the caller itself gave up
-	ttft    time.Duration
-	gaps    []time.Duration
+	status        int
+	reason        string // of a refusal or failure; empty for an answer
+	outcome       string
+	hasRetryAfter bool // the refusal had a Retry-After header
+	digest        uint64
+	complete      bool
+	lost          bool // no complete response was received
+	cancelled     bool // the caller disconnected
+	ttft          time.Duration
+	gaps          []time.Duration
 }
 
 func (p *Player) send(ctx context.Context, r Request, i int) result {
@@ -91,7 +93,7 @@
 	began := time.Now()
 	resp, err := p.connect(ctx, r, i)
 	if err != nil {
-		return result{lost: ctx.Err() == nil, gone: ctx.Err() != nil, reason: "no answer"}
+		return result{lost: ctx.Err() == nil, cancelled: ctx.Err() != nil, reason: "no answer"}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	var out result
@@ -101,17 +103,18 @@
 	case r.Model != "":
 		out = readStream(resp.Body, began)
 	default:
-		out = readWhole(resp.Body, began)
+		out = readAnswer(resp.Body, began)
 	}
 	out.status = resp.StatusCode
 	if out.lost && ctx.Err() != nil {
-		out.lost, out.gone = false, true
+		out.lost, out.cancelled = false, true
 	}
 	return out
 }
 
-// connect sends to the next target that takes the connection and is ready, as
-// a balancer does; what was sent is never sent again.
+// connect sends the request to the first target, from index i on, that accepts the
+// connection and is ready, as a load balancer does. A request that
+// fails once the connection is made is not sent to another target.
 func (p *Player) connect(ctx context.Context, r Request, i int) (*http.Response, error) {
 	var last error
 	for n := range p.Targets {
@@ -129,13 +132,13 @@
 		}
 		last = err
 	}
-	return nil, errors.Join(errNobody, last)
+	return nil, errors.Join(errNoTarget, last)
 }
 
-var errNobody = errors.New("no process takes the request")
+var errNoTarget = errors.New("no target accepts the request")
 
-// notReady says whether a process answered that it is not ready, which a
-// balancer learns from its health check.
+// notReady reports whether the process answered that it is not ready, and then
+// closes the response. A load balancer learns this from health checks.
 func notReady(resp *http.Response) bool {
 	if resp.Header.Get("Trailshed-Not-Ready") == "" {
 		return false
@@ -160,7 +163,7 @@
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	req.GetBody = nil // a caller's repeat is the trace's to decide
+	req.GetBody = nil // the HTTP client must not resend: the trace decides on repeats
 	req.Header.Set("Authorization", "Bearer "+Key(r.Workspace))
 	req.Header.Set("Trailshed-Kind", r.Kind)
 	if r.Key != "" {
@@ -179,20 +182,21 @@
 	if err := json.NewDecoder(resp.Body).Decode(&body); err != nil {
 		return result{lost: true, reason: "malformed problem"}
 	}
-	return result{reason: body.Error.Type, outcome: body.Error.Outcome, retry: resp.Header.Get("Retry-After") != ""}
+	return result{reason: body.Error.Type, outcome: body.Error.Outcome, hasRetryAfter: resp.Header.Get("Retry-After") != ""}
 }
 
-func readWhole(r io.Reader, began time.Time) result {
+func readAnswer(r io.Reader, began time.Time) result {
 	var body struct {
 		Digest uint64 `json:"digest"`
 	}
 	if err := json.NewDecoder(r).Decode(&body); err != nil {
 		return result{lost: true, reason: "malformed answer"}
 	}
-	return result{whole: true, digest: body.Digest, ttft: time.Since(began)}
+	return result{complete: true, digest: body.Digest, ttft: time.Since(began)}
 }
 
-// readStream reads server-sent events up to [DONE].
+// readStream reads server-sent events up to [DONE], measuring the time to the first
+// text and the gaps between texts.
 func readStream(r io.Reader, began time.Time) result {
 	var out result
 	var text strings.Builder
@@ -204,7 +208,7 @@
 			continue
 		}
 		if string(data) == "[DONE]" {
-			out.whole, out.digest = true, DigestOf(text.String())
+			out.complete, out.digest = true, DigestOf(text.String())
 			return out
 		}
 		chunk, err := readChunk(data)
--- a/internal/trace/report.go
+++ b/internal/trace/report.go
@@ -12,34 +12,35 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// gapPart is the part of an answer's gaps that must meet the target.
-const gapPart = 0.95
+// gapQuantile is the quantile of the gaps between an answer's tokens that is compared with
+// the class's TBT target.
+const gapQuantile = 0.95
 
-// Report is what came of a replay.
+// Report is the result of a replay.
 type Report struct {
 	Name    string
 	Elapsed time.Duration
 
-	mu      sync.Mutex
-	targets map[string]Class
-	classes map[string]*tally
-	repeats int // repeats with the same key that got the same answer
-	refused int // repeats that were told that the first may have run
-	strange int // repeats that got another answer
+	mu              sync.Mutex
+	targets         map[string]Class
+	classes         map[string]*tally
+	repeatsAnswered int // repeats with the same key that got a complete answer
+	repeatsRefused  int // repeats that were refused, failed or cancelled
+	repeatsLost     int // repeats without a complete response
 }
 
-// tally is the count of one class.
+// tally is the figures of one class.
 type tally struct {
-	offered  int
-	answered int
-	good     int // whole, right and within both targets
-	wrong    int // somebody else's answer, or not whole
-	lost     int // no final answer
-	gone     int // the caller gave up
-	untold   int // refused without when to come back
-	reasons  map[string]int
-	ttft     *hdrhistogram.Histogram
-	gaps     *hdrhistogram.Histogram
+	offered      int
+	answered     int
+	good         int // answered, and within both targets
+	wrong        int // complete, but with another digest than expected
+	lost         int // no complete response
+	cancelled    int // the caller disconnected
+	noRetryAfter int // refused without a Retry-After header
+	reasons      map[string]int
+	ttft         *hdrhistogram.Histogram
+	gaps         *hdrhistogram.Histogram
 }
 
 func newReport(h Header) *Report {
@@ -67,24 +68,24 @@
 	}
 	t.offered++
 	switch {
-	case res.gone:
-		t.gone++
+	case res.cancelled:
+		t.cancelled++
 	case res.lost:
 		t.lost++
 		t.reasons["lost: "+res.reason]++
-	case !res.whole:
+	case !res.complete:
 		t.reasons[res.outcome+": "+res.reason]++
-		if res.outcome == "refused_not_run" && !res.retry {
-			t.untold++
+		if res.outcome == "refused_not_run" && !res.hasRetryAfter {
+			t.noRetryAfter++
 		}
 	case res.digest != req.Digest:
 		t.wrong++
 	default:
-		r.answered(t, req, res)
+		r.addAnswer(t, req, res)
 	}
 }
 
-func (r *Report) answered(t *tally, req Request, res result) {
+func (r *Report) addAnswer(t *tally, req Request, res result) {
 	t.answered++
 	_ = t.ttft.RecordValue(res.ttft.Microseconds())
 	for _, g := range res.gaps {
@@ -92,33 +93,33 @@
 	}
 	target := r.targets[req.Class]
 	inTime := res.ttft <= time.Duration(target.TTFTMS)*time.Millisecond
-	if inTime && quantile(res.gaps, gapPart) <= time.Duration(target.TBTMS)*time.Millisecond {
+	if inTime && quantile(res.gaps, gapQuantile) <= time.Duration(target.TBTMS)*time.Millisecond {
 		t.good++
 	}
 }
 
-func quantile(gaps []time.Duration, part float64) time.Duration {
+func quantile(gaps []time.Duration, q float64) time.Duration {
 	if len(gaps) == 0 {
 		return 0
 	}
 	sorted := slices.Sorted(slices.Values(gaps))
-	return sorted[int(part*float64(len(sorted)-1))]
+	return sorted[int(q*float64(len(sorted)-1))]
 }
 
-func (r *Report) again(res result) {
+func (r *Report) addRepeat(res result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
-	case res.whole:
-		r.repeats++
+	case res.complete:
+		r.repeatsAnswered++
 	case res.lost:
-		r.strange++
+		r.repeatsLost++
 	default:
-		r.refused++
+		r.repeatsRefused++
 	}
 }
 
-// Totals are a replay's figures over all classes.
+// Totals are the sums of a replay's figures over all classes.
 type Totals struct {
 	Offered, Answered, Good, Wrong, Lost, Untold int
 }
@@ -134,12 +135,12 @@
 		sum.Good += t.good
 		sum.Wrong += t.wrong
 		sum.Lost += t.lost
-		sum.Untold += t.untold
+		sum.Untold += t.noRetryAfter
 	}
 	return sum
 }
 
-// Write prints the report for people.
+// Write prints the report as a table, followed by the reasons of failures.
 func (r *Report) Write(w io.Writer) error {
 	sum := r.Totals()
 	r.mu.Lock()
@@ -152,7 +153,7 @@
 	for _, name := range slices.Sorted(maps.Keys(r.classes)) {
 		t := r.classes[name]
 		_, _ = fmt.Fprintf(out, "  %s\t%d\t%d\t%d\t%.1f\t%d\t%s\t%s\n", name, t.offered, t.answered, t.good,
-			percent(t.good, t.offered), t.gone, quantiles(t.ttft), quantiles(t.gaps))
+			percent(t.good, t.offered), t.cancelled, quantiles(t.ttft), quantiles(t.gaps))
 	}
 	if err := out.Flush(); err != nil {
 		return Error.Wrap(err)
@@ -167,13 +168,13 @@
 		for _, reason := range slices.Sorted(maps.Keys(t.reasons)) {
 			_, _ = fmt.Fprintf(w, "  %s: %d %s\n", name, t.reasons[reason], reason)
 		}
-		if t.untold > 0 {
-			_, _ = fmt.Fprintf(w, "  %s: %d refused without saying when to come back\n", name, t.untold)
+		if t.noRetryAfter > 0 {
+			_, _ = fmt.Fprintf(w, "  %s: %d refused without Retry-After\n", name, t.noRetryAfter)
 		}
 	}
-	if n := r.repeats + r.refused + r.strange; n > 0 {
-		_, _ = fmt.Fprintf(w, "  asked again with the same key: %d, same answer %d, refused %d, lost %d\n",
-			n, r.repeats, r.refused, r.strange)
+	if n := r.repeatsAnswered + r.repeatsRefused + r.repeatsLost; n > 0 {
+		_, _ = fmt.Fprintf(w, "  repeated with the same key: %d, answered %d, refused %d, lost %d\n",
+			n, r.repeatsAnswered, r.repeatsRefused, r.repeatsLost)
 	}
 }
 
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,7 +1,7 @@
-// Package trace reads recorded traces of callers and replays them. A trace is
-// lines of JSON: a header, then one request a line in order of time. Prompts
-// are not recorded but derived from a seed, and each line carries the digest of
-// the answer it must get.
+// Package trace reads, writes and replays recorded traces of callers' requests. A
+// trace is lines of JSON: a header, then one request a line in order of time.
+// Prompts are not recorded but derived from a seed, and each line carries the
+// digest of the expected answer.
 package trace
 
 import (
@@ -20,14 +20,14 @@
 
 const bytesPerToken = 4
 
-// Class is the targets that a class's answers are held to.
+// Class is a class of requests with the latency targets of its answers.
 type Class struct {
 	Name   string `json:"name"`
 	TTFTMS int    `json:"ttft_ms"`
 	TBTMS  int    `json:"tbt_ms"`
 }
 
-// Header is a trace's first line.
+// Header is the first line of a trace.
 type Header struct {
 	Name    string  `json:"name"`
 	Classes []Class `json:"classes"`
@@ -39,26 +39,26 @@
 	Workspace    string `json:"workspace"`
 	Class        string `json:"class"`
 	Kind         string `json:"kind"`
-	Model        string `json:"model,omitempty"`   // or
-	Service      string `json:"service,omitempty"` // a plain service
+	Model        string `json:"model,omitempty"`   // empty for a plain service
+	Service      string `json:"service,omitempty"` // plain service; empty for a model
 	Seed         int64  `json:"seed"`
-	Prefix       string `json:"prefix,omitempty"` // prompts that share it begin alike
+	Prefix       string `json:"prefix,omitempty"` // text that the first PrefixTokens of the prompt are made of
 	PrefixTokens int    `json:"prefix_tokens,omitempty"`
-	Tokens       int    `json:"tokens,omitempty"` // of the whole prompt
-	Out          int    `json:"out,omitempty"`    // tokens of the answer
-	Key          string `json:"key,omitempty"`    // idempotency key
-	AgainMS      int64  `json:"again_ms,omitempty"`
-	CancelMS     int64  `json:"cancel_ms,omitempty"`
+	Tokens       int    `json:"tokens,omitempty"`    // length of the whole prompt
+	Out          int    `json:"out,omitempty"`       // length of the answer in tokens
+	Key          string `json:"key,omitempty"`       // idempotency key
+	AgainMS      int64  `json:"again_ms,omitempty"`  // if set, the caller repeats the request this long after the first send
+	CancelMS     int64  `json:"cancel_ms,omitempty"` // if set, the caller disconnects after this time
 	Digest       uint64 `json:"digest"`
 }
 
-// Trace is a whole recording.
+// Trace is a recorded trace.
 type Trace struct {
 	Header   Header
 	Requests []Request
 }
 
-// Read reads a trace.
+// Read parses a trace.
 func Read(r io.Reader) (*Trace, error) {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, 1<<20)
@@ -90,22 +90,23 @@
 	return nil
 }
 
-// Key returns the bearer key that demonstrations give a workspace.
+// Key returns the bearer key of a workspace in demonstrations.
 func Key(workspace string) string { return "key-" + workspace }
 
-// Prompt returns the request's prompt: the shared prefix, a body of its own and
-// the length of the answer, which the stand-in engines understand.
+// Prompt returns the request's prompt: the shared prefix, text unique to the
+// request, and the length of the answer in the form that the stand-in engines parse.
 func (r Request) Prompt() string {
 	end := fmt.Sprintf(" [out=%d]", r.Out)
-	prefix := filler(r.Prefix, r.PrefixTokens*bytesPerToken)
-	own := filler(fmt.Sprintf("request %d ", r.Seed), r.Tokens*bytesPerToken-len(prefix)-len(end))
+	prefix := repeatTo(r.Prefix, r.PrefixTokens*bytesPerToken)
+	own := repeatTo(fmt.Sprintf("request %d ", r.Seed), r.Tokens*bytesPerToken-len(prefix)-len(end))
 	return prefix + own + end
 }
 
 // Body returns the body of a call to a plain service.
 func (r Request) Body() string { return fmt.Sprintf(`{"seed":%d}`, r.Seed) }
 
-func filler(text string, length int) string {
+// repeatTo repeats text, with spaces between, up to length bytes.
+func repeatTo(text string, length int) string {
 	if length <= 0 || text == "" {
 		return ""
 	}
