--- a/cmd/trailshed/main.go
+++ b/cmd/trailshed/main.go
@@ -1,5 +1,5 @@
-// Command trailshed routes language-model requests over separate prefill and
-// decode pools, and plain services beside them.
+// Command trailshed routes requests for language models to separate prefill and
+// decode pools, and requests for plain services to their endpoints.
 package main
 
 import (
--- a/internal/command/remote.go
+++ b/internal/command/admin_client.go
@@ -12,10 +12,11 @@
 	"github.com/trailshed/trailshed/internal/query"
 )
 
-const remoteTimeout = 15 * time.Second
+const adminTimeout = 15 * time.Second
 
-// remote is how a command reaches a running process.
-type remote struct {
+// adminClient sends statements to the admin address of a running process. Its options are
+// shared by all commands that embed it.
+type adminClient struct {
 	Admin string `short:"a" long:"admin" env:"TRAILSHED_ADMIN" default:"127.0.0.1:7200" value-name:"ADDRESS" description:"operators' address of any process"`
 	Token string `short:"t" long:"token" env:"TRAILSHED_TOKEN" value-name:"SECRET" description:"operators' token"`
 	Who   string `long:"as" env:"TRAILSHED_AS" value-name:"NAME" description:"name for the audit trail"`
@@ -23,19 +24,19 @@
 }
 
 // send runs a statement on the process and returns its answer.
-func (r *remote) send(text string, base int64) (query.Table, error) {
+func (c *adminClient) send(text string, base int64) (query.Table, error) {
 	var t query.Table
-	body, err := json.Marshal(node.Statement{Text: text, Who: r.who(), Base: base})
+	body, err := json.Marshal(node.Statement{Text: text, Who: c.who(), Base: base})
 	if err != nil {
 		return t, Error.Wrap(err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), remoteTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), adminTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.Admin+"/v1/statements", bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.Admin+"/v1/statements", bytes.NewReader(body))
 	if err != nil {
 		return t, Error.Wrap(err)
 	}
-	req.Header.Set("Authorization", "Bearer "+r.Token)
+	req.Header.Set("Authorization", "Bearer "+c.Token)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return t, Error.Wrap(err)
@@ -51,9 +52,9 @@
 	return t, Error.Wrap(json.NewDecoder(resp.Body).Decode(&t))
 }
 
-func (r *remote) who() string {
-	if r.Who != "" {
-		return r.Who
+func (c *adminClient) who() string {
+	if c.Who != "" {
+		return c.Who
 	}
 	if u, err := user.Current(); err == nil {
 		return u.Username
@@ -61,8 +62,8 @@
 	return "unknown"
 }
 
-func (r *remote) print(t query.Table) error {
-	if r.JSON {
+func (c *adminClient) print(t query.Table) error {
+	if c.JSON {
 		out := json.NewEncoder(Output)
 		out.SetIndent("", "  ")
 		return Error.Wrap(out.Encode(t))
--- a/internal/command/bench.go
+++ b/internal/command/bench.go
@@ -18,7 +18,7 @@
 	} `positional-args:"true"`
 }
 
-// Execute plays a declared experiment and prints what came of it.
+// Execute runs the experiment of a plan and prints the result.
 func (b *bench) Execute([]string) error {
 	if b.Default {
 		_, err := Output.Write(experiment.Default)
@@ -41,7 +41,7 @@
 	if jobs == 0 {
 		jobs = max(runtime.NumCPU()/2, 1)
 	}
-	result := plan.Play(build(), jobs)
+	result := plan.Play(buildVersion(), jobs)
 	if err := result.Print(Output, earlier); err != nil {
 		return err
 	}
--- a/internal/command/bench_test.go
+++ b/internal/command/bench_test.go
@@ -11,7 +11,7 @@
 	"github.com/trailshed/trailshed/internal/command"
 )
 
-// run runs a command line and returns its status and what it printed.
+// run runs a command line and returns its exit status and output.
 func run(t *testing.T, args ...string) (int, string) {
 	t.Helper()
 	var out bytes.Buffer
@@ -37,7 +37,7 @@
 		{"compared with the result", []string{"bench", plan, "--against", result}, 0, "+0.00 ± 0.00"},
 		{"the built-in plan", []string{"bench", "--print-default"}, 0, "prefill_rate:"},
 		{"no plan", []string{"bench"}, 1, ""},
-		{"a wrong plan", []string{"bench", wrong}, 1, ""},
+		{"an invalid plan", []string{"bench", wrong}, 1, ""},
 		{"no such result", []string{"bench", plan, "--against", wrong + "x"}, 1, ""},
 	}
 	for _, test := range tests {
--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -21,7 +21,7 @@
 		return Error.Wrap(err)
 	}
 	if c.Args.File == "" {
-		return Error.New("a FILE must be given")
+		return Error.New("check: FILE is missing")
 	}
 	s, err := settings.Load(c.Args.File)
 	if err != nil {
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,5 +1,5 @@
-// Package command is trailshed's command line: one file for each command, whose
-// tagged fields are its options.
+// Package command implements trailshed's command line: one file for each command,
+// whose tagged fields are its options.
 package command
 
 import (
@@ -15,11 +15,11 @@
 // Error marks every error of this package.
 var Error = errs.Class("trailshed")
 
-// Output is where commands print; tests replace it.
+// Output receives what commands print; tests replace it.
 var Output io.Writer = os.Stdout
 
-// registered is one command in the table below.
-type registered struct {
+// commandSpec describes one command of the table in commands.
+type commandSpec struct {
 	name  string
 	short string
 	long  string
@@ -50,16 +50,16 @@
 	}
 }
 
-func commands(parser *flags.Parser) []registered {
-	return []registered{
-		{"serve", "run a process", "Runs one trailshed process until it is sent SIGTERM, then lets every running request finish.", &serve{}},
-		{"gateway", "route on a platform", "Runs one process that routes requests on the users' platform until it is sent SIGTERM, then lets running requests finish.", &gatewayCommand{}},
-		{"check", "check a settings file", "Checks a settings file, naming file, line, key and value of everything that is wrong.", &check{}},
-		{"query", "ask what is running", "Runs a statement that changes nothing, such as 'show running' or 'explain REQUEST'.", &ask{}},
-		{"do", "give a command", "Runs statements that may change the configuration, such as 'drain endpoint NAME'.", &do{}},
-		{"explain-log", "tell what became of a request", "Reads the logs of any number of gateways on standard input and tells, in order, what became of one request.", &explainLog{}},
-		{"replay", "replay a recorded trace", "Replays a recorded trace of callers against running processes and checks every answer.", &replay{}},
-		{"bench", "play an experiment", "Plays a declared experiment in emulated time: the policies side by side under the same load and faults, with tables, plots and result files to compare with.", &bench{}},
+func commands(parser *flags.Parser) []commandSpec {
+	return []commandSpec{
+		{"serve", "run a process", "Runs one trailshed process until it receives SIGTERM, then waits for running requests to finish.", &serve{}},
+		{"gateway", "route on a platform", "Runs one process that routes requests on the users' platform until it receives SIGTERM, then waits for running requests to finish.", &gatewayCommand{}},
+		{"check", "check a settings file", "Checks a settings file and reports the file, line, key and value of each error.", &check{}},
+		{"query", "run a read-only statement", "Runs a read-only statement, such as 'show running' or 'explain REQUEST'.", &queryCommand{}},
+		{"do", "run statements that change things", "Runs statements that may change the configuration, such as 'drain endpoint NAME'.", &do{}},
+		{"explain-log", "show what happened to a request", "Reads the logs of any number of gateways on standard input and prints, in order of time, what happened to one request.", &explainLog{}},
+		{"replay", "replay a recorded trace", "Replays a recorded trace of requests against running processes and checks every answer.", &replay{}},
+		{"bench", "run an experiment", "Runs the experiment described by a plan in emulated time: compares policies under the same load and faults, and prints tables, draws plots and writes a result file for later comparison.", &bench{}},
 		{"completion", "print shell completion", "Prints a script that completes commands and options in bash.", &completion{}},
 		{"manual", "print the manual page", "Prints the manual page of all commands; read it with 'trailshed manual | man -l -'.", &manual{parser}},
 		{"version", "print the version", "Prints the version.", &version{}},
--- a/internal/command/completion.go
+++ b/internal/command/completion.go
@@ -4,7 +4,8 @@
 
 type completion struct{}
 
-// bashScript lets go-flags itself complete, so that it never goes stale.
+// bashScript delegates completion to go-flags, so that it always matches the commands
+// and options of the binary.
 const bashScript = `_trailshed() {
     local words=("${COMP_WORDS[@]:1:$COMP_CWORD}")
     local IFS=$'\n'
--- a/internal/command/do.go
+++ b/internal/command/do.go
@@ -10,7 +10,7 @@
 )
 
 type do struct {
-	remote
+	adminClient
 	File string `short:"f" long:"file" value-name:"FILE" description:"run the statements of a file, a line each"`
 	Base int64  `long:"base" value-name:"REVISION" description:"revision that the command was decided on"`
 	Args struct {
@@ -39,13 +39,13 @@
 	var last query.Table
 	count := 0
 	lines := bufio.NewScanner(f)
-	for number := 1; lines.Scan(); number++ {
+	for lineNumber := 1; lines.Scan(); lineNumber++ {
 		text := strings.TrimSpace(lines.Text())
 		if text == "" || strings.HasPrefix(text, "#") {
 			continue
 		}
 		if last, err = d.send(text, 0); err != nil {
-			return Error.New("%s:%d: %v", d.File, number, err)
+			return Error.New("%s:%d: %v", d.File, lineNumber, err)
 		}
 		count++
 	}
--- a/internal/command/explain_log.go
+++ b/internal/command/explain_log.go
@@ -13,7 +13,7 @@
 	} `positional-args:"true" required:"true"`
 }
 
-// Execute tells from logs on standard input what became of one request.
+// Execute prints from logs on standard input what happened to one request.
 func (e *explainLog) Execute([]string) error {
 	s, err := story.Read(os.Stdin, e.Args.Request)
 	if err != nil {
--- a/internal/command/gateway.go
+++ b/internal/command/gateway.go
@@ -17,7 +17,7 @@
 	Settings string `short:"s" long:"settings" value-name:"FILE" description:"settings of this process; by default, the file that the platform names"`
 }
 
-// Execute routes requests on the users' platform until it is told to stop.
+// Execute routes requests on the users' platform until SIGTERM or SIGINT.
 func (c *gatewayCommand) Execute([]string) error {
 	file := c.Settings
 	if file == "" {
@@ -26,7 +26,7 @@
 	return Gateway(file, clock.Machine())
 }
 
-// Gateway is the command with the settings in file, on a machine with such clocks.
+// Gateway runs the gateway command with the given settings file and clocks.
 func Gateway(file string, clocks clock.Source) error {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
--- a/internal/command/query.go
+++ b/internal/command/query.go
@@ -6,26 +6,26 @@
 	"github.com/trailshed/trailshed/internal/query"
 )
 
-type ask struct {
-	remote
+type queryCommand struct {
+	adminClient
 	Args struct {
 		Statement []string `positional-arg-name:"STATEMENT" required:"1"`
 	} `positional-args:"true"`
 }
 
-// Execute runs a statement that changes nothing.
-func (a *ask) Execute([]string) error {
-	text := strings.Join(a.Args.Statement, " ")
+// Execute runs a read-only statement.
+func (c *queryCommand) Execute([]string) error {
+	text := strings.Join(c.Args.Statement, " ")
 	s, err := query.Parse(text)
 	if err != nil {
 		return err
 	}
 	if !s.Reads() {
-		return Error.New("this statement changes something: use 'trailshed do'")
+		return Error.New("statement is not read-only: use 'trailshed do'")
 	}
-	t, err := a.send(text, 0)
+	t, err := c.send(text, 0)
 	if err != nil {
 		return err
 	}
-	return a.print(t)
+	return c.print(t)
 }
--- a/internal/command/replay.go
+++ b/internal/command/replay.go
@@ -19,7 +19,7 @@
 	} `positional-args:"true"`
 }
 
-// Execute replays a trace and prints what came of it.
+// Execute replays a trace and prints the report.
 func (r *replay) Execute([]string) error {
 	f, err := os.Open(r.Args.File)
 	if err != nil {
--- a/internal/command/serve.go
+++ b/internal/command/serve.go
@@ -16,7 +16,7 @@
 	Settings string `short:"s" long:"settings" required:"true" value-name:"FILE" description:"settings of this process"`
 }
 
-// Execute runs a process until it is told to stop.
+// Execute runs a process until SIGTERM or SIGINT.
 func (s *serve) Execute([]string) error {
 	set, err := settings.Load(s.Settings)
 	if err != nil {
--- a/internal/command/version.go
+++ b/internal/command/version.go
@@ -6,7 +6,7 @@
 	"runtime/debug"
 )
 
-// Version is set by the linker at a release.
+// Version is set by the linker in releases.
 var Version = "0.1.0-dev"
 
 type version struct{}
@@ -17,11 +17,11 @@
 	return Error.Wrap(err)
 }
 
-// commitLength is how much of a commit's name tells it from others.
+// commitLength is the length to which commit hashes are abbreviated.
 const commitLength = 10
 
-// build names this version and, where the build knows it, the commit.
-func build() string {
+// buildVersion returns Version and, if the build information has it, the commit.
+func buildVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return Version
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -1,5 +1,5 @@
-// Package counter opens the process's metrics: tally scopes that a Prometheus
-// endpoint shows.
+// Package counter sets up the process's metrics: tally scopes that are exported by
+// a Prometheus handler.
 package counter
 
 import (
@@ -12,10 +12,10 @@
 	"github.com/uber-go/tally/v4/prometheus"
 )
 
-// reportInterval is how often counters reach the Prometheus endpoint.
+// reportInterval is how often values are reported to the Prometheus handler.
 const reportInterval = time.Second
 
-// Registry is the root scope with its endpoint.
+// Registry is the root scope with the HTTP handler that exports it.
 type Registry struct {
 	Scope   tally.Scope
 	Handler http.Handler
@@ -24,10 +24,10 @@
 
 // Open returns a registry whose metrics carry the given tags.
 func Open(tags map[string]string) *Registry {
-	registry := prom.NewRegistry() // one each, as tests run many nodes in a process
+	registry := prom.NewRegistry() // not the global one, as tests run several nodes in a process
 	reporter := prometheus.NewReporter(prometheus.Options{
 		Registerer: registry, Gatherer: registry,
-		OnRegisterError: func(error) {}, // a metric that cannot be shown stops nothing
+		OnRegisterError: func(error) {}, // a metric that cannot be registered is ignored
 	})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
 		Prefix: "trailshed", Tags: tags, CachedReporter: reporter,
@@ -36,5 +36,5 @@
 	return &Registry{Scope: scope, Handler: reporter.HTTPHandler(), closer: closer}
 }
 
-// Close reports what is left.
+// Close reports the remaining values and stops reporting.
 func (r *Registry) Close() error { return r.closer.Close() }
--- a/internal/platform/store.go
+++ b/internal/platform/store.go
@@ -1,6 +1,7 @@
-// Package platform reaches the platform's key-value service: compare-and-swap,
-// watches and the lagging list of instances. Nothing beyond this package knows
-// the service's wire format, which is that of our stand-in.
+// Package platform is a client of the platform's key-value service:
+// compare-and-swap, watches and the list of instances, which lags behind. Of the
+// packages that use the service only this one knows its wire format, which is that
+// of the stand-in.
 package platform
 
 import (
@@ -24,17 +25,17 @@
 var Error = errs.Class("platform")
 
 var (
-	// ErrMissing says that the key does not exist.
+	// ErrMissing means that the key does not exist.
 	ErrMissing = errors.New("key is missing")
-	// ErrConflict says that the key has another version; nothing was written.
+	// ErrConflict means that the key has another version; nothing was written.
 	ErrConflict = errors.New("version conflict")
-	// ErrUnknown says that no answer came: a write may have taken effect.
+	// ErrUnknown means that no usable answer was received; a write may have taken effect.
 	ErrUnknown = errors.New("outcome unknown")
-	// ErrRefused says that the service refused the call; nothing was written.
+	// ErrRefused means that the service refused the call; nothing was written.
 	ErrRefused = errors.New("service refused the call")
 )
 
-// Entry is one key with its value.
+// Entry is a key with its value.
 type Entry struct {
 	Key     string `json:"key"`
 	Value   []byte `json:"value,omitempty"`
@@ -42,7 +43,7 @@
 	Deleted bool   `json:"deleted,omitempty"`
 }
 
-// Instance is one row of the platform's lagging list.
+// Instance is one entry of the platform's list of instances.
 type Instance struct {
 	Name    string         `json:"name"`
 	Zone    string         `json:"zone"`
@@ -50,38 +51,38 @@
 	Leaving bool           `json:"leaving"`
 }
 
-// Store is a connection to the service. Tests replace its functions.
+// Store holds the operations of the service. Tests replace its functions.
 type Store struct {
-	// Get reads one key; ErrMissing when there is none.
+	// Get reads one key; it fails with ErrMissing if the key does not exist.
 	Get func(ctx context.Context, key string) (Entry, error)
 	// Put writes key if its version is still the given one (0: it must not
 	// exist) and returns the new version.
 	Put func(ctx context.Context, key string, value []byte, version int64) (int64, error)
 	// Delete removes key if its version is still the given one.
 	Delete func(ctx context.Context, key string, version int64) error
-	// List reads up to limit keys under prefix that sort after the given one.
+	// List reads up to limit entries under prefix whose keys sort after the given one.
 	List func(ctx context.Context, prefix, after string, limit int) ([]Entry, error)
-	// Watch waits for changes under prefix later than index. It returns the
-	// changes and the index to go on from; no changes when wait has passed.
+	// Watch waits for changes under prefix later than index. It returns them and the
+	// index for the next call; after wait it returns without changes.
 	Watch func(ctx context.Context, prefix string, index int64, wait time.Duration) ([]Entry, int64, error)
-	// Instances reads the lagging list.
+	// Instances reads the list of instances, which lags behind.
 	Instances func(ctx context.Context) ([]Instance, error)
 }
 
-// client speaks the stand-in's HTTP format.
+// client implements the operations in the stand-in's HTTP format.
 type client struct {
-	base    string
-	http    *http.Client
-	timeout time.Duration
-	scope   tally.Scope
+	base       string
+	httpClient *http.Client
+	timeout    time.Duration
+	scope      tally.Scope
 }
 
-// Connect returns a Store that calls the service at address; timeout bounds
-// each call but a watch.
+// Connect returns a Store that calls the service at address. timeout limits each
+// call; a watch may take its wait in addition.
 func Connect(address netip.AddrPort, timeout time.Duration, scope tally.Scope) *Store {
 	c := &client{
 		base: "http://" + address.String(), timeout: timeout, scope: scope,
-		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16, IdleConnTimeout: time.Minute}},
+		httpClient: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16, IdleConnTimeout: time.Minute}},
 	}
 	return &Store{
 		Get: c.get, Put: c.put, Delete: c.remove,
@@ -114,7 +115,7 @@
 	return entries, err
 }
 
-// Changes is the answer to a watch.
+// Changes is the response to a watch.
 type Changes struct {
 	Index   int64   `json:"index"`
 	Entries []Entry `json:"entries"`
@@ -144,7 +145,7 @@
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	resp, err := c.http.Do(req)
+	resp, err := c.httpClient.Do(req)
 	if err != nil {
 		return c.failed(ErrUnknown, err.Error())
 	}
--- a/internal/ticker/ticker.go
+++ b/internal/ticker/ticker.go
@@ -1,6 +1,6 @@
-// Package ticker calls functions in time. A Ticker calls often while there is
-// something to wait for and seldom when there is not, so that an idle process
-// hardly wakes; Every and Sleep do the plain things until a context ends.
+// Package ticker calls functions periodically. A Ticker uses a short interval while
+// there is work and a long one otherwise, so that an idle process rarely wakes up;
+// Every uses a fixed interval.
 package ticker
 
 import (
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// Ticker is one such loop.
+// Ticker calls a function at one of two intervals, depending on whether it is busy.
 type Ticker struct {
-	Fast time.Duration // between calls while busy
-	Slow time.Duration // between calls otherwise
+	Fast time.Duration // interval while busy
+	Slow time.Duration // interval while idle
 	wake chan struct{}
 }
 
-// New returns a ticker that is not running yet.
+// New returns a ticker, which Run starts.
 func New(fast, slow time.Duration) *Ticker {
 	return &Ticker{Fast: fast, Slow: slow, wake: make(chan struct{}, 1)}
 }
 
-// Wake says that there is something to wait for.
+// Wake makes the ticker busy until the next call of its function.
 func (t *Ticker) Wake() {
 	select {
 	case t.wake <- struct{}{}:
@@ -28,7 +28,7 @@
 	}
 }
 
-// Run calls do, which says whether it is busy, until ctx ends.
+// Run calls do, which returns whether it is busy, until ctx ends.
 func (t *Ticker) Run(ctx context.Context, do func() (busy bool)) {
 	timer := time.NewTimer(UntilNext(t.Slow))
 	defer timer.Stop()
@@ -54,13 +54,14 @@
 	}
 }
 
-// began is when this process did. Intervals are counted from there: those that are
-// multiples of each other end together, which wakes an idle process once and not several
-// times. Other processes began at other moments.
-var began = time.Now()
+// processStart is the common origin of all intervals: those that are multiples of each
+// other end at the same time, which wakes an idle process once rather than several
+// times. The ends of intervals of different processes differ, as their start times do.
+var processStart = time.Now()
 
-// Every calls do at the end of each interval until ctx ends, the first time earlier than
-// that. What takes longer than an interval is called next at the end of a later one.
+// Every calls do at the end of each interval, counted from the start of the process,
+// until ctx ends; the first call therefore comes after less than an interval. If a call
+// takes longer than an interval, the ends that it misses are skipped.
 func Every(ctx context.Context, interval time.Duration, do func()) {
 	timer := time.NewTimer(UntilNext(interval))
 	defer timer.Stop()
@@ -75,16 +76,16 @@
 	}
 }
 
-// UntilNext is how long it is until the present interval ends.
+// UntilNext returns the time until the current interval ends.
 func UntilNext(interval time.Duration) time.Duration {
-	past := time.Since(began) % interval
-	if past < 0 { // a test's clock stands before the process's beginning
-		past += interval
+	elapsed := time.Since(processStart) % interval
+	if elapsed < 0 { // in tests with a fake clock, which is before processStart
+		elapsed += interval
 	}
-	return interval - past
+	return interval - elapsed
 }
 
-// Sleep waits for d, or until ctx ends.
+// Sleep waits for d or until ctx ends.
 func Sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
--- a/internal/ticker/ticker_test.go
+++ b/internal/ticker/ticker_test.go
@@ -12,14 +12,15 @@
 	"github.com/trailshed/trailshed/internal/ticker"
 )
 
-// Loops that began at different moments wake the process together: an idle instance has
-// ten of them, and in a fleet of a thousand what each wakes for is most of its cost.
+// Loops that start at different times wake the process at the same times. An idle
+// instance has ten such loops, and in a fleet of a thousand instances the wake-ups are
+// most of its cost.
 func TestIntervalsEndTogether(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var group sync.WaitGroup
 		var mu sync.Mutex
-		moments, calls := map[time.Time]bool{}, map[time.Duration]int{}
+		wakeUps, calls := map[time.Time]bool{}, map[time.Duration]int{}
 		intervals := []time.Duration{100 * time.Millisecond, 200 * time.Millisecond, 400 * time.Millisecond, time.Second}
 		for _, interval := range intervals {
 			time.Sleep(7 * time.Millisecond)
@@ -27,7 +28,7 @@
 				ticker.Every(ctx, interval, func() {
 					mu.Lock()
 					defer mu.Unlock()
-					moments[time.Now()] = true
+					wakeUps[time.Now()] = true
 					calls[interval]++
 				})
 			})
@@ -38,7 +39,7 @@
 				ticker.New(50*time.Millisecond, 200*time.Millisecond).Run(ctx, func() bool {
 					mu.Lock()
 					defer mu.Unlock()
-					moments[time.Now()] = true
+					wakeUps[time.Now()] = true
 					return false
 				})
 			})
@@ -46,7 +47,7 @@
 		time.Sleep(10 * time.Second)
 		cancel()
 		group.Wait()
-		qt.Check(t, len(moments) <= 101, qt.IsTrue, qt.Commentf("%d moments", len(moments)))
+		qt.Check(t, len(wakeUps) <= 101, qt.IsTrue, qt.Commentf("%d wake-ups", len(wakeUps)))
 		for _, interval := range intervals {
 			want := int(10 * time.Second / interval)
 			qt.Check(t, calls[interval] >= want && calls[interval] <= want+1, qt.IsTrue, qt.Commentf("%v: %d calls", interval, calls[interval]))
@@ -54,8 +55,8 @@
 	})
 }
 
-// What takes longer than its interval is not called late, again and again, but next at an
-// end of one.
+// A function that takes longer than its interval is next called at the end of a later
+// interval, not late each time.
 func TestSlowCallsSkip(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
--- a/internal/valid/valid.go
+++ b/internal/valid/valid.go
@@ -1,5 +1,5 @@
-// Package valid checks what was read from a YAML file by the rules in its
-// fields' tags.
+// Package valid checks values read from a YAML file against the validation rules in
+// their struct tags.
 package valid
 
 import (
@@ -11,8 +11,8 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// Check returns an error for every key whose value breaks its rule, each with
-// the file, the key, the value and the rule.
+// Check returns one error for each key whose value breaks its rule; it names the
+// file, the key, the value and the rule.
 func Check(file string, read any) []error {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string { return f.Tag.Get("yaml") })
@@ -20,14 +20,14 @@
 	if err == nil {
 		return nil
 	}
-	var broken validator.ValidationErrors
-	if !errors.As(err, &broken) {
+	var fieldErrs validator.ValidationErrors
+	if !errors.As(err, &fieldErrs) {
 		return []error{err}
 	}
 	var all []error
-	for _, b := range broken {
-		_, key, _ := strings.Cut(b.Namespace(), ".")
-		all = append(all, fmt.Errorf("%s: %s: \"%v\" breaks the rule %s %s", file, key, b.Value(), b.Tag(), b.Param()))
+	for _, fieldErr := range fieldErrs {
+		_, key, _ := strings.Cut(fieldErr.Namespace(), ".")
+		all = append(all, fmt.Errorf("%s: %s: \"%v\" breaks the rule %s %s", file, key, fieldErr.Value(), fieldErr.Tag(), fieldErr.Param()))
 	}
 	return all
 }
--- a/pkg/clock/machine.go
+++ b/pkg/clock/machine.go
@@ -7,51 +7,53 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrUnsteady says that the clocks could not be read at one moment: the process was
-// held up each time between two looks.
-var ErrUnsteady = errors.New("clocks could not be read together")
+// ErrInconsistentRead is returned if the clocks could not be read closely enough
+// together because the process was delayed between the reads in each attempt.
+var ErrInconsistentRead = errors.New("clocks could not be read together")
 
 const (
-	// looks is how often that is tried, and together within what the looks at two
-	// clocks must lie. A look takes less than a microsecond.
-	looks    = 10
-	together = time.Millisecond
+	// maxReadAttempts limits the attempts to read the clocks together, which means
+	// within maxReadSpread. Reading a clock takes less than a microsecond.
+	maxReadAttempts = 10
+	maxReadSpread   = time.Millisecond
 )
 
-// Machine returns the clocks of this machine.
+// Machine returns a source of this machine's clocks.
 func Machine() Source {
 	started := time.Now()
 	return Source{
-		Read: func() (day, steady time.Duration) {
+		Read: func() (wall, monotonic time.Duration) {
 			now := time.Now()
 			return time.Duration(now.UnixNano()), now.Sub(started)
 		},
-		Asleep: asleep,
+		Asleep: readAsleep,
 	}
 }
 
-func asleep() (time.Duration, error) {
-	for range looks {
-		before, err := read(unix.CLOCK_MONOTONIC)
+// readAsleep returns the difference between CLOCK_BOOTTIME and CLOCK_MONOTONIC. It
+// reads the latter before and after, to detect a delay between the reads.
+func readAsleep() (time.Duration, error) {
+	for range maxReadAttempts {
+		before, err := readClock(unix.CLOCK_MONOTONIC)
 		if err != nil {
 			return 0, err
 		}
-		up, err := read(unix.CLOCK_BOOTTIME)
+		up, err := readClock(unix.CLOCK_BOOTTIME)
 		if err != nil {
 			return 0, err
 		}
-		after, err := read(unix.CLOCK_MONOTONIC)
+		after, err := readClock(unix.CLOCK_MONOTONIC)
 		if err != nil {
 			return 0, err
 		}
-		if after-before < together {
+		if after-before < maxReadSpread {
 			return up - before, nil
 		}
 	}
-	return 0, ErrUnsteady
+	return 0, ErrInconsistentRead
 }
 
-func read(clock int32) (time.Duration, error) {
+func readClock(clock int32) (time.Duration, error) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(clock, &t); err != nil {
 		return 0, err
--- a/pkg/clock/suspend_test.go
+++ b/pkg/clock/suspend_test.go
@@ -9,51 +9,56 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// A machine was suspended for some seconds, while leases, waits of callers and what
-// others were told went on. Its steady clock had stood still, and whoever counts on it
-// alone takes a lease that is over for its own.
+// These tests guard against using expired leases after a suspension. While a machine
+// is suspended for some seconds, leases, waits of callers and the validity of what
+// other instances know continue, but its monotonic clock stands still: an instance
+// that relies on that clock alone takes an expired lease for valid.
 
-// machine is the clocks of a machine.
-type machine struct {
-	day, steady, asleep time.Duration
-	looks               int
+// fakeMachine simulates the clocks of a machine.
+type fakeMachine struct {
+	wall, monotonic, suspended time.Duration
+	asleepReads                int
 }
 
-func (m *machine) source() clock.Source {
+func (m *fakeMachine) source() clock.Source {
 	return clock.Source{
-		Read: func() (day, steady time.Duration) { return m.day, m.steady },
+		Read: func() (wall, monotonic time.Duration) { return m.wall, m.monotonic },
 		Asleep: func() (time.Duration, error) {
-			m.looks++
-			return m.asleep, nil
+			m.asleepReads++
+			return m.suspended, nil
 		},
 	}
 }
 
-func (m *machine) run(d time.Duration) { m.day, m.steady = m.day+d, m.steady+d }
+func (m *fakeMachine) run(d time.Duration) { m.wall, m.monotonic = m.wall+d, m.monotonic+d }
 
-func (m *machine) suspend(d time.Duration) { m.day, m.asleep = m.day+d, m.asleep+d }
+func (m *fakeMachine) suspend(d time.Duration) { m.wall, m.suspended = m.wall+d, m.suspended+d }
 
-func (m *machine) step(d time.Duration) { m.day += d }
+func (m *fakeMachine) step(d time.Duration) { m.wall += d }
 
 func TestSuspendedTimeCounts(t *testing.T) {
 	tests := []struct {
 		name   string
-		happen func(m *machine)
+		happen func(m *fakeMachine)
 		passed time.Duration
 	}{
-		{"runs", func(m *machine) { m.run(3 * time.Second) }, 3 * time.Second},
-		{"suspended", func(m *machine) { m.run(time.Second); m.suspend(5 * time.Second) }, 6 * time.Second},
-		{"suspended for a moment", func(m *machine) { m.suspend(40 * time.Millisecond) }, 40 * time.Millisecond},
-		{"time of day steps ahead", func(m *machine) { m.run(time.Second); m.step(4 * time.Second) }, time.Second},
-		{"time of day steps back", func(m *machine) { m.run(time.Second); m.step(-4 * time.Second) }, time.Second},
+		{"runs", func(m *fakeMachine) { m.run(3 * time.Second) }, 3 * time.Second},
+		{"suspended", func(m *fakeMachine) { m.run(time.Second); m.suspend(5 * time.Second) }, 6 * time.Second},
+		{"suspended for a moment", func(m *fakeMachine) { m.suspend(40 * time.Millisecond) }, 40 * time.Millisecond},
+		{"wall clock steps forward", func(m *fakeMachine) { m.run(time.Second); m.step(4 * time.Second) }, time.Second},
+		{"wall clock steps back", func(m *fakeMachine) { m.run(time.Second); m.step(-4 * time.Second) }, time.Second},
 		{
-			"suspended, and the time of day steps back by as much",
-			func(m *machine) { m.suspend(2 * time.Second); m.step(-2 * time.Second); m.run(1100 * time.Millisecond) },
+			"suspended, and the wall clock steps back by the same time",
+			func(m *fakeMachine) {
+				m.suspend(2 * time.Second)
+				m.step(-2 * time.Second)
+				m.run(1100 * time.Millisecond)
+			},
 			3100 * time.Millisecond,
 		},
 		{
-			"suspended twice, with a step between",
-			func(m *machine) {
+			"suspended twice, with a wall clock step between",
+			func(m *fakeMachine) {
 				m.suspend(2 * time.Second)
 				m.step(time.Hour)
 				m.run(time.Second)
@@ -65,7 +70,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			m := &machine{day: 400_000 * time.Hour, asleep: 30 * time.Second} // it had been suspended before the process began
+			m := &fakeMachine{wall: 400_000 * time.Hour, suspended: 30 * time.Second} // suspended before the process started
 			now := clock.From(m.source())
 			began := now()
 			test.happen(m)
@@ -74,19 +79,19 @@
 	}
 }
 
-// While nothing happens, the clock that goes on is looked at once a second: a look is
-// three calls of the system.
+// While the clocks run normally, Asleep is called only once a second, as it takes three
+// system calls.
 func TestLooksAreFew(t *testing.T) {
-	m := &machine{}
+	m := &fakeMachine{}
 	now := clock.From(m.source())
 	for range 5000 {
 		m.run(2 * time.Millisecond)
 		now()
 	}
-	qt.Assert(t, m.looks <= 12, qt.IsTrue, qt.Commentf("%d looks in ten seconds", m.looks))
+	qt.Assert(t, m.asleepReads <= 12, qt.IsTrue, qt.Commentf("%d calls of Asleep in ten seconds", m.asleepReads))
 }
 
-// This machine's clocks can be read, and agree with each other.
+// This machine's clocks can be read, and Now does not go backwards.
 func TestMachine(t *testing.T) {
 	s := clock.Machine()
 	first, err := s.Asleep()
--- a/pkg/clock/system.go
+++ b/pkg/clock/system.go
@@ -8,77 +8,81 @@
 
 // Source reads the machine's clocks. Tests replace it.
 type Source struct {
-	// Read returns, in one look, the time of day since 1970 and the steady clock, which
-	// nobody sets, and which stands still while the machine is suspended.
-	Read func() (day, steady time.Duration)
-	// Asleep returns by how much the clock that counts from the machine's start, and
-	// goes on while it is suspended, is ahead of the steady one.
+	// Read returns, from a single reading, the wall clock as time since 1970 and the
+	// monotonic clock, which cannot be set and does not advance while the machine is
+	// suspended.
+	Read func() (wall, monotonic time.Duration)
+	// Asleep returns the time that the machine has been suspended since it booted:
+	// how far the boot-time clock, which keeps advancing during suspension, is ahead
+	// of the monotonic clock.
 	Asleep func() (time.Duration, error)
 }
 
 const (
-	// lookEvery is how often Asleep is called while nothing else asks for it. A
-	// suspension shows at once by the time of day, which it moves against the steady
-	// clock, unless somebody set the time of day back by as much.
-	lookEvery = time.Second
-	// moved is from which on the time of day has moved: less is what its adjustment
-	// adds up to, or what lies between two looks.
-	moved = time.Millisecond
+	// checkInterval is how often Asleep is called if the wall clock gives no reason
+	// to. A suspension is normally detected at once, because it advances the wall
+	// clock against the monotonic one, unless the wall clock was set back by the same
+	// amount.
+	checkInterval = time.Second
+	// minStep is the smallest change against the monotonic clock that counts as a
+	// step or a suspension. Less may come from gradual adjustment of the wall clock
+	// or from the time between two reads.
+	minStep = time.Millisecond
 )
 
-// Clock reads the present moment. It fixes the offset to the time of day once and
-// counts on the steady clock from there, and beside it the time that the machine is
-// suspended: leases, waits and windows go on meanwhile for everybody else. A step of
-// the time of day moves no deadline. A reading costs 108 ns (BenchmarkSystem), where one
-// of the steady clock alone costs 43. It is safe for concurrent use.
+// Clock returns the current time. It takes its offset from the wall clock once, when
+// opened, and adds the time passed on the monotonic clock and the time that the machine
+// was suspended, during which leases, waits and windows continue on other machines. A step of the
+// wall clock moves no deadline. A call of Now costs 108 ns (BenchmarkSystem); reading
+// the monotonic clock alone costs 43. It is safe for concurrent use.
 type Clock struct {
-	source Source
-	offset Millis
-	start  time.Duration // of the steady clock
-	awake  time.Duration // what Asleep told at the start
+	source        Source
+	offset        Millis
+	start         time.Duration // monotonic clock at Open
+	asleepAtStart time.Duration // result of Asleep at Open
 
-	gap    atomic.Int64 // between time of day and steady clock at the last look, in ns
-	looked atomic.Int64 // the steady clock then, in ns
-	slept  atomic.Int64 // in ns
-	mu     sync.Mutex   // held while looking
+	lastGap   atomic.Int64 // wall clock minus monotonic clock at the last check, in ns
+	lastCheck atomic.Int64 // monotonic clock at the last check, in ns
+	suspended atomic.Int64 // time suspended since Open, in ns
+	mu        sync.Mutex   // held by checkSuspension
 }
 
-// Open returns a clock that begins now.
+// Open returns a clock on the given source.
 func Open(s Source) *Clock {
-	day, steady := s.Read()
-	c := &Clock{source: s, offset: Millis(day.Milliseconds()), start: steady}
-	c.gap.Store(int64(day - steady))
-	c.looked.Store(int64(steady))
-	// Without the clock that goes on, the steady one alone is what there is.
-	c.awake, _ = s.Asleep()
+	wall, monotonic := s.Read()
+	c := &Clock{source: s, offset: Millis(wall.Milliseconds()), start: monotonic}
+	c.lastGap.Store(int64(wall - monotonic))
+	c.lastCheck.Store(int64(monotonic))
+	// If Asleep fails, the monotonic clock is all there is to count on.
+	c.asleepAtStart, _ = s.Asleep()
 	return c
 }
 
-// Now is the present moment.
+// Now returns the current time.
 func (c *Clock) Now() Millis {
-	day, steady := c.source.Read()
-	gap := day - steady
-	if (gap-time.Duration(c.gap.Load())).Abs() > moved || steady-time.Duration(c.looked.Load()) > lookEvery {
-		c.look(gap, steady)
+	wall, monotonic := c.source.Read()
+	gap := wall - monotonic
+	if (gap-time.Duration(c.lastGap.Load())).Abs() > minStep || monotonic-time.Duration(c.lastCheck.Load()) > checkInterval {
+		c.checkSuspension(gap, monotonic)
 	}
-	return c.offset.Add(steady - c.start + c.Slept())
+	return c.offset.Add(monotonic - c.start + c.Slept())
 }
 
-// Slept is for how long the machine was suspended since the clock began.
-func (c *Clock) Slept() time.Duration { return time.Duration(c.slept.Load()) }
+// Slept returns how long the machine was suspended since Open.
+func (c *Clock) Slept() time.Duration { return time.Duration(c.suspended.Load()) }
 
-// look finds out whether the machine was suspended. Where that cannot be read, the
-// next reading of the clock tries again.
-func (c *Clock) look(gap, steady time.Duration) {
+// checkSuspension updates the time suspended. If Asleep fails, the next call of Now
+// tries again.
+func (c *Clock) checkSuspension(gap, monotonic time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	asleep, err := c.source.Asleep()
 	if err != nil {
 		return
 	}
-	if longer := asleep - c.awake; longer-c.Slept() > moved {
-		c.slept.Store(int64(longer))
+	if longer := asleep - c.asleepAtStart; longer-c.Slept() > minStep {
+		c.suspended.Store(int64(longer))
 	}
-	c.gap.Store(int64(gap))
-	c.looked.Store(int64(steady))
+	c.lastGap.Store(int64(gap))
+	c.lastCheck.Store(int64(monotonic))
 }
