--- a/pkg/clock/system.go
+++ b/pkg/clock/system.go
@@ -32,9 +32,10 @@
 
 // Clock returns the current time. It takes its offset from the wall clock once, when
 // opened, and adds the time passed on the monotonic clock and the time that the machine
-// was suspended, during which leases, waits and windows continue on other machines. A step of the
-// wall clock moves no deadline. A call of Now costs 108 ns (BenchmarkSystem); reading
-// the monotonic clock alone costs 43. It is safe for concurrent use.
+// was suspended, during which leases, waits and windows continue on other machines. A
+// step of the wall clock moves no deadline. A call of Now costs 108 ns
+// (BenchmarkSystem); reading the monotonic clock alone costs 43. It is safe for
+// concurrent use.
 type Clock struct {
 	source        Source
 	offset        Millis
