--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,4 +1,4 @@
-// Command standin runs the small stand-ins of outside systems that tests and
+// Command standin runs simple stand-ins of the external systems that tests and
 // demonstrations need: the platform, model engines and plain services.
 package main
 
@@ -23,25 +23,25 @@
 
 func main() {
 	parser := flags.NewNamedParser("standin", flags.Default)
-	add(parser, "platform", "run the platform's key-value service", &platformCommand{})
-	add(parser, "endpoint", "run the endpoints of one zone", &endpointCommand{})
-	add(parser, "certificates", "make an authority and certificates", &certificatesCommand{})
-	add(parser, "record", "make a recorded trace", &recordCommand{})
-	add(parser, "statements", "print the commands that create a fleet", &statementsCommand{})
-	add(parser, "inspect", "ask the endpoints what ran and what they hold", &inspectCommand{})
+	addCommand(parser, "platform", "run the platform's key-value service", &platformCommand{})
+	addCommand(parser, "endpoint", "run the endpoints of one zone", &endpointCommand{})
+	addCommand(parser, "certificates", "create a certificate authority and certificates", &certificatesCommand{})
+	addCommand(parser, "record", "generate a trace", &recordCommand{})
+	addCommand(parser, "statements", "print the statements that create a fleet", &statementsCommand{})
+	addCommand(parser, "inspect", "report what the endpoints ran and still hold", &inspectCommand{})
 	if _, err := parser.Parse(); err != nil {
 		os.Exit(1)
 	}
 }
 
-func add(p *flags.Parser, name, short string, c flags.Commander) {
+func addCommand(p *flags.Parser, name, short string, c flags.Commander) {
 	if _, err := p.AddCommand(name, short, short, c); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(2)
 	}
 }
 
-func untilSignal() (context.Context, context.CancelFunc) {
+func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 }
 
@@ -53,10 +53,10 @@
 	InstanceLag time.Duration `long:"instance-lag" default:"3s" description:"lag of the list of instances"`
 }
 
-// Execute runs the platform until it is told to stop.
+// Execute runs the platform until SIGTERM or SIGINT.
 func (c *platformCommand) Execute([]string) error {
 	s := &http.Server{Addr: c.Listen, Handler: platform.New(c.Writes, c.Reads, c.InstanceLag).Handler(), ReadHeaderTimeout: 5 * time.Second}
-	ctx, stop := untilSignal()
+	ctx, stop := signalContext()
 	defer stop()
 	go func() {
 		<-ctx.Done()
@@ -77,13 +77,13 @@
 	Zone string `long:"zone" required:"true"`
 }
 
-// Execute runs the endpoints of one zone until it is told to stop.
+// Execute runs the endpoints of one zone until SIGTERM or SIGINT.
 func (c *endpointCommand) Execute([]string) error {
 	f, err := fleet.Load(c.Fleet)
 	if err != nil {
 		return err
 	}
-	ctx, stop := untilSignal()
+	ctx, stop := signalContext()
 	defer stop()
 	return f.Serve(ctx, c.Zone)
 }
@@ -95,7 +95,7 @@
 	} `positional-args:"true"`
 }
 
-// Execute writes the certificates.
+// Execute writes the certificates of an authority and of each node.
 func (c *certificatesCommand) Execute([]string) error {
 	a, err := cert.NewAuthority(c.Dir)
 	if err != nil {
@@ -145,7 +145,8 @@
 
 type inspectCommand struct{ fleetFile }
 
-// Execute prints what the endpoints say and fails when a promise was broken.
+// Execute prints what the endpoints recorded. It fails if a key ran more than once
+// or an attempt still holds memory.
 func (c *inspectCommand) Execute([]string) error {
 	f, err := fleet.Load(c.Fleet)
 	if err != nil {
@@ -160,7 +161,7 @@
 		fmt.Println("  " + line)
 	}
 	if len(found.RanTwice)+len(found.StillHeld) > 0 {
-		return errors.New("a promise was broken")
+		return errors.New("a key ran more than once or an attempt still holds memory")
 	}
 	return nil
 }
--- a/internal/standin/cert/cert.go
+++ b/internal/standin/cert/cert.go
@@ -1,5 +1,5 @@
-// Package cert makes an authority and certificates for demonstrations and
-// tests. They are valid for a day and protect nothing.
+// Package cert creates a certificate authority and certificates for demonstrations
+// and tests. They are valid for a day and provide no security.
 package cert
 
 import (
@@ -17,14 +17,14 @@
 
 const validity = 24 * time.Hour
 
-// Authority signs certificates of nodes.
+// Authority is a certificate authority that signs the certificates of nodes.
 type Authority struct {
 	dir  string
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-// NewAuthority makes an authority and writes its certificate to dir/ca.pem.
+// NewAuthority creates an authority and writes its certificate to dir/ca.pem.
 func NewAuthority(dir string) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -45,7 +45,8 @@
 	return a, writePEM(filepath.Join(dir, "ca.pem"), "CERTIFICATE", der)
 }
 
-// Issue writes dir/NAME.pem and dir/NAME.key for the node called name.
+// Issue creates a certificate and key for the node called name and writes them to
+// dir/NAME.pem and dir/NAME.key.
 func (a *Authority) Issue(name string) error {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
--- a/internal/standin/engine/decode.go
+++ b/internal/standin/engine/decode.go
@@ -11,7 +11,7 @@
 	"github.com/trailshed/trailshed/internal/endpoint"
 )
 
-var errKV = errors.New("kv cache cannot be fetched")
+var errKVFetch = errors.New("kv cache cannot be fetched")
 
 func (e *Engine) decode(w http.ResponseWriter, r *http.Request) {
 	var d endpoint.DecodeRequest
@@ -24,7 +24,7 @@
 		http.Error(w, "no slot came free", http.StatusServiceUnavailable)
 		return
 	}
-	cache, err := e.pull(j, d)
+	cache, err := e.fetchKV(j, d)
 	if err != nil {
 		e.mu.Lock()
 		e.free(j)
@@ -32,11 +32,11 @@
 		http.Error(w, err.Error(), http.StatusBadGateway)
 		return
 	}
-	e.start(j, d, cache)
+	e.startDecode(j, d, cache)
 	e.stream(w, r, j)
 }
 
-// takeSlot waits for memory, at most as long as a prefill result is kept.
+// takeSlot waits for a free slot, at most as long as a prefill result is kept.
 func (e *Engine) takeSlot(j *job) bool {
 	deadline := time.Now().Add(e.traits.KVHold)
 	for time.Now().Before(deadline) {
@@ -53,13 +53,14 @@
 	return false
 }
 
-// pull fetches the KV cache from the prefill engine; a cancel ends it.
-func (e *Engine) pull(j *job, d endpoint.DecodeRequest) (kv, error) {
+// fetchKV fetches the KV cache from the prefill engine. It is aborted if the job is
+// cancelled.
+func (e *Engine) fetchKV(j *job, d endpoint.DecodeRequest) (kvData, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() {
 		select {
-		case <-j.gone:
+		case <-j.freed:
 			cancel()
 		case <-ctx.Done():
 		}
@@ -67,34 +68,35 @@
 	url := "http://" + d.Source.String() + "/kv/" + d.Attempt
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(nil))
 	if err != nil {
-		return kv{}, err
+		return kvData{}, err
 	}
 	resp, err := e.client.Do(req)
 	if err != nil {
-		return kv{}, errKV
+		return kvData{}, errKVFetch
 	}
 	defer func() { _ = resp.Body.Close() }()
-	var cache kv
+	var cache kvData
 	if resp.StatusCode != http.StatusOK || json.NewDecoder(resp.Body).Decode(&cache) != nil {
-		return kv{}, errKV
+		return kvData{}, errKVFetch
 	}
 	return cache, nil
 }
 
-// start lets a job join the batch.
-func (e *Engine) start(j *job, d endpoint.DecodeRequest, cache kv) {
+// startDecode adds a job to the decode batch.
+func (e *Engine) startDecode(j *job, d endpoint.DecodeRequest, cache kvData) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	j.words = Answer(cache.Prompt, d.MaxTokens)
 	j.next = min(d.Offset, len(j.words))
 	j.out = make(chan endpoint.Token, 2*len(j.words)+2)
-	j.run = e.began(Run{Attempt: j.attempt, Phase: phaseDecode})
+	j.run = e.recordRun(Run{Attempt: j.attempt, Phase: phaseDecode})
 	j.phase = phaseDecode
-	e.poke()
+	e.wakeLoop()
 }
 
-// decodeLoop makes one token for every running job at each step. A job goes on
-// when its reader is gone, as an engine does that is not told.
+// decodeLoop generates one token for every running job at each step. A job
+// continues after its reader has disconnected, as in an engine that does not detect
+// this.
 func (e *Engine) decodeLoop() {
 	for {
 		running := e.running()
@@ -102,14 +104,14 @@
 			select {
 			case <-e.wake:
 				continue
-			case <-e.done:
+			case <-e.closed:
 				return
 			}
 		}
 		step := e.scaled(e.traits.StepBase + time.Duration(len(running))*e.traits.StepPerSlot)
 		select {
 		case <-time.After(step):
-		case <-e.done:
+		case <-e.closed:
 			return
 		}
 		e.advance(running, step)
@@ -128,6 +130,7 @@
 	return running
 }
 
+// advance generates the next token of each job and frees the jobs that are complete.
 func (e *Engine) advance(running []*job, step time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -153,6 +156,8 @@
 	}
 }
 
+// stream sends a job's tokens until the job is complete or freed, or the reader
+// disconnects. Tokens buffered when the job is freed are still sent.
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, j *job) {
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	flusher := http.NewResponseController(w)
@@ -164,7 +169,7 @@
 		default:
 			select {
 			case t = <-j.out:
-			case <-j.gone:
+			case <-j.freed:
 				if len(j.out) == 0 {
 					return
 				}
@@ -174,9 +179,9 @@
 			}
 		}
 		e.mu.Lock()
-		cut := e.faults.CutAfter
+		cutAfter := e.faults.CutAfter
 		e.mu.Unlock()
-		if cut > 0 && sent == cut {
+		if cutAfter > 0 && sent == cutAfter {
 			panic(http.ErrAbortHandler)
 		}
 		if lines.Encode(t) != nil || t.Done {
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine is a small stand-in for model engines and plain services, for
-// tests and demonstrations. It spends time as an engine would, but computes
-// nothing: answers are words derived from the prompt.
+// Package engine is a simple stand-in for model engines and plain services, for
+// tests and demonstrations. It takes the time that an engine would, but runs no
+// model: answers are words derived from the prompt.
 package engine
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/trailshed/trailshed/internal/endpoint"
 )
 
-// Role is what an engine does.
+// Role is the kind of work that an engine accepts.
 type Role string
 
 // The roles of an engine.
@@ -25,101 +25,101 @@
 	Service Role = "service"
 )
 
-// Traits are the fixed properties of an engine. Zero values take defaults.
+// Traits are the fixed properties of an engine. Zero values stand for defaults.
 type Traits struct {
 	Role         Role          `yaml:"role"`
-	Slots        int           `yaml:"slots"`          // requests in memory
+	Slots        int           `yaml:"slots"`          // concurrent requests in memory
 	TokensPerSec int           `yaml:"tokens_per_sec"` // prefill speed
-	StepBase     time.Duration `yaml:"step_base"`      // decode step when empty
-	StepPerSlot  time.Duration `yaml:"step_per_slot"`  // added per running request
+	StepBase     time.Duration `yaml:"step_base"`      // base duration of a decode step
+	StepPerSlot  time.Duration `yaml:"step_per_slot"`  // added for each running request
 	KVHold       time.Duration `yaml:"kv_hold"`        // how long a prefill result is kept
-	LinkTokens   int           `yaml:"link_tokens"`    // KV transferred, in tokens a second
+	LinkTokens   int           `yaml:"link_tokens"`    // speed of KV transfers, in tokens a second
 	CacheBlocks  int           `yaml:"cache_blocks"`   // prefix cache size
 	ReportLag    time.Duration `yaml:"report_lag"`     // age of load reports
-	EventGap     int           `yaml:"event_gap"`      // one cache event in so many is lost
-	IgnoreFence  bool          `yaml:"ignore_fence"`   // takes orders from anyone
+	EventGap     int           `yaml:"event_gap"`      // every EventGap-th cache event is lost
+	IgnoreFence  bool          `yaml:"ignore_fence"`   // accepts orders with an outdated fencing token
 	CallTime     time.Duration `yaml:"call_time"`      // plain service: time per call
 }
 
-func (t *Traits) fill() {
-	set(&t.Slots, 20)
-	set(&t.TokensPerSec, 20_000)
-	set(&t.StepBase, 18*time.Millisecond)
-	set(&t.StepPerSlot, time.Millisecond)
-	set(&t.KVHold, 800*time.Millisecond)
-	set(&t.LinkTokens, 100_000)
-	set(&t.CacheBlocks, 4096)
-	set(&t.ReportLag, 250*time.Millisecond)
-	set(&t.EventGap, 50)
-	set(&t.CallTime, 20*time.Millisecond)
+func (t *Traits) setDefaults() {
+	setDefault(&t.Slots, 20)
+	setDefault(&t.TokensPerSec, 20_000)
+	setDefault(&t.StepBase, 18*time.Millisecond)
+	setDefault(&t.StepPerSlot, time.Millisecond)
+	setDefault(&t.KVHold, 800*time.Millisecond)
+	setDefault(&t.LinkTokens, 100_000)
+	setDefault(&t.CacheBlocks, 4096)
+	setDefault(&t.ReportLag, 250*time.Millisecond)
+	setDefault(&t.EventGap, 50)
+	setDefault(&t.CallTime, 20*time.Millisecond)
 }
 
-func set[T comparable](field *T, value T) {
+func setDefault[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
 		*field = value
 	}
 }
 
-// Faults are the switches that tests set; the zero value is healthy.
+// Faults are the faults that tests inject; the zero value injects none.
 type Faults struct {
-	Slow           float64 `json:"slow"`            // factor on all times; 0 means 1
+	Slow           float64 `json:"slow"`            // factor of all durations; 0 means 1
 	StallTransfers bool    `json:"stall_transfers"` // KV fetches hang
-	CutAfter       int     `json:"cut_after"`       // streams break after so many tokens
-	LoseCancels    int     `json:"lose_cancels"`    // cancels to fail
-	RepeatTokens   bool    `json:"repeat_tokens"`   // every line is sent twice
-	CrashOn        string  `json:"crash_on"`        // its process ends as it begins a call with this in its body
-	Leaving        bool    `json:"leaving"`         // all answers tell that it leaves
-	Limit          float64 `json:"limit"`           // all answers name this many pieces of work a second; 0: none
-	Rest           float64 `json:"rest"`            // work is turned away, with the wish for none in so many seconds
+	CutAfter       int     `json:"cut_after"`       // streams are aborted after this many tokens
+	LoseCancels    int     `json:"lose_cancels"`    // how many cancels will fail
+	RepeatTokens   bool    `json:"repeat_tokens"`   // every token is sent twice
+	CrashOn        string  `json:"crash_on"`        // calls Crash when it starts a call whose body contains this
+	Leaving        bool    `json:"leaving"`         // all responses announce that it is leaving
+	Limit          float64 `json:"limit"`           // all responses state this limit of work requests a second; 0: none
+	Rest           float64 `json:"rest"`            // work requests are refused, with a Retry-After of this many seconds
 }
 
-// Run is one attempt that an engine began to execute.
+// Run is an attempt that an engine started to execute.
 type Run struct {
 	Attempt string    `json:"attempt"`
 	Phase   string    `json:"phase"`
-	Tokens  int       `json:"tokens"` // computed, so wasted when nobody read them
+	Tokens  int       `json:"tokens"` // computed; wasted if the result is not used
 	Key     string    `json:"key"`    // plain service: idempotency key
 	Began   time.Time `json:"began"`
-	Used    bool      `json:"used"` // prefill: fetched; decode and call: finished
+	Used    bool      `json:"used"` // prefill: result fetched; decode and call: completed
 }
 
-// Engine is one endpoint.
+// Engine is a stand-in endpoint.
 type Engine struct {
-	// Crash ends the process; it is set where CrashOn is used.
+	// Crash simulates the end of the process. It must be set if CrashOn is used.
 	Crash func()
 
 	traits Traits
 	client *http.Client
 
-	mu      sync.Mutex
-	faults  Faults
-	asked   int             // how often for work
-	jobs    map[string]*job // all attempts that hold memory
-	queue   []*job          // prefill: waiting, in order of arrival
-	runs    []*Run
-	cache   cache
-	fence   int64
-	step    time.Duration
-	reports []stamped
-	link    sync.Mutex // one KV transfer at a time
-	wake    chan struct{}
-	done    chan struct{}
+	mu           sync.Mutex
+	faults       Faults
+	workRequests int             // number of work requests received
+	jobs         map[string]*job // attempts that hold memory, by ID
+	queue        []*job          // prefill: waiting jobs in order of arrival
+	runs         []*Run
+	cache        cache
+	fence        int64
+	step         time.Duration
+	recentLoads  []timedLoad
+	link         sync.Mutex // held during a KV transfer: one at a time
+	wake         chan struct{}
+	closed       chan struct{}
 }
 
-// stamped is a load report with its time.
-type stamped struct {
+// timedLoad is a load with the time at which it was measured.
+type timedLoad struct {
 	load endpoint.Load
 	at   time.Time
 }
 
 // New starts an engine; Close stops it.
 func New(t Traits) *Engine {
-	t.fill()
+	t.setDefaults()
 	e := &Engine{
 		traits: t, client: &http.Client{Timeout: 10 * time.Second},
 		jobs: map[string]*job{}, cache: newCache(t.CacheBlocks, t.EventGap),
-		wake: make(chan struct{}, 1), done: make(chan struct{}),
+		wake: make(chan struct{}, 1), closed: make(chan struct{}),
 	}
 	switch t.Role {
 	case Prefill:
@@ -131,27 +131,29 @@
 	return e
 }
 
-// Close ends the engine's loops.
-func (e *Engine) Close() { close(e.done) }
+// Close stops the engine's loops.
+func (e *Engine) Close() { close(e.closed) }
 
-// Handler returns the engine's endpoint and, under /control, its switches.
+// Handler returns the engine's HTTP interface, with fault injection and the record of
+// runs under /control.
 func (e *Engine) Handler() http.Handler {
 	r := chi.NewRouter()
-	r.Use(e.says)
-	r.Post("/prefill", e.work(e.prefill))
-	r.Post("/decode", e.work(e.decode))
+	r.Use(e.addNotices)
+	r.Post("/prefill", e.countWork(e.prefill))
+	r.Post("/decode", e.countWork(e.decode))
 	r.Post("/kv/{attempt}", e.fetch)
 	r.Post("/cancel", e.cancel)
 	r.Get("/report", e.report)
 	r.Post("/order", e.order)
-	r.HandleFunc("/call/*", e.work(e.call))
+	r.HandleFunc("/call/*", e.countWork(e.call))
 	r.Put("/control/faults", e.setFaults)
 	r.Get("/control/runs", e.getRuns)
 	return r
 }
 
-// says has all answers tell what the engine says of itself.
-func (e *Engine) says(next http.Handler) http.Handler {
+// addNotices adds the notices of the engine to the headers of all responses: that it
+// is leaving, and its limit.
+func (e *Engine) addNotices(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		e.mu.Lock()
 		if e.faults.Leaving {
@@ -165,38 +167,38 @@
 	})
 }
 
-// work counts how often work is asked for, and turns it away where it is told to.
-func (e *Engine) work(next http.HandlerFunc) http.HandlerFunc {
+// countWork counts work requests and refuses them if Faults.Rest is set.
+func (e *Engine) countWork(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		e.mu.Lock()
-		e.asked++
-		rest := e.faults.Rest
+		e.workRequests++
+		retryAfter := e.faults.Rest
 		e.mu.Unlock()
-		if rest == 0 {
+		if retryAfter == 0 {
 			next(w, r)
 			return
 		}
 		w.Header().Set("Not-Run", "1")
-		w.Header().Set("Retry-After", strconv.FormatFloat(rest, 'f', -1, 64))
+		w.Header().Set("Retry-After", strconv.FormatFloat(retryAfter, 'f', -1, 64))
 		http.Error(w, "busy", http.StatusTooManyRequests)
 	}
 }
 
-// Asked is how often the engine was asked for work.
+// Asked returns the number of work requests received.
 func (e *Engine) Asked() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.asked
+	return e.workRequests
 }
 
-// SetFaults replaces the switches.
+// SetFaults replaces the injected faults.
 func (e *Engine) SetFaults(f Faults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = f
 }
 
-// Runs returns a copy of what the engine began to execute.
+// Runs returns a copy of the attempts that the engine started to execute.
 func (e *Engine) Runs() []Run {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -207,7 +209,7 @@
 	return runs
 }
 
-// Held returns the attempts that the engine holds memory for.
+// Held returns the attempts that hold memory.
 func (e *Engine) Held() []endpoint.Held {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -222,7 +224,7 @@
 	return held
 }
 
-// scaled stretches a time by the slowness switch.
+// scaled multiplies a duration by the Slow fault.
 func (e *Engine) scaled(d time.Duration) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -232,14 +234,14 @@
 	return time.Duration(float64(d) * e.faults.Slow)
 }
 
-// began records the start of an execution; the caller holds the lock.
-func (e *Engine) began(r Run) *Run {
+// recordRun records the start of an execution; the caller holds the lock.
+func (e *Engine) recordRun(r Run) *Run {
 	r.Began = time.Now()
 	e.runs = append(e.runs, &r)
 	return &r
 }
 
-func (e *Engine) poke() {
+func (e *Engine) wakeLoop() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
@@ -272,19 +274,19 @@
 		delete(e.jobs, j.attempt)
 	}
 	j.end()
-	e.poke()
+	e.wakeLoop()
 }
 
 func (e *Engine) report(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseInt(r.FormValue("after"), 10, 64)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	reply(w, endpoint.Report{Held: e.held(), Load: e.laggedLoad(), Events: e.cache.since(after)})
+	reply(w, endpoint.Report{Held: e.held(), Load: e.delayedLoad(), Events: e.cache.since(after)})
 }
 
-// laggedLoad notes the present load and returns one that is a lag old; the
-// caller holds the lock.
-func (e *Engine) laggedLoad() endpoint.Load {
+// delayedLoad records the current load and returns the latest one that is at least
+// ReportLag old, or else the oldest recorded; the caller holds the lock.
+func (e *Engine) delayedLoad() endpoint.Load {
 	now := time.Now()
 	current := endpoint.Load{StepUS: e.step.Microseconds()}
 	for _, j := range e.jobs {
@@ -294,11 +296,11 @@
 			current.Running++
 		}
 	}
-	e.reports = append(e.reports, stamped{load: current, at: now})
-	for len(e.reports) > 1 && now.Sub(e.reports[1].at) >= e.traits.ReportLag {
-		e.reports = e.reports[1:]
+	e.recentLoads = append(e.recentLoads, timedLoad{load: current, at: now})
+	for len(e.recentLoads) > 1 && now.Sub(e.recentLoads[1].at) >= e.traits.ReportLag {
+		e.recentLoads = e.recentLoads[1:]
 	}
-	oldest := e.reports[0]
+	oldest := e.recentLoads[0]
 	oldest.load.AgeMS = now.Sub(oldest.at).Milliseconds()
 	return oldest.load
 }
--- a/internal/standin/engine/job.go
+++ b/internal/standin/engine/job.go
@@ -27,14 +27,14 @@
 	run     *Run
 	words   []string
 	next    int
-	out     chan endpoint.Token // decode: large enough never to block
-	ready   chan struct{}       // prefill: closed when computed
-	gone    chan struct{}       // closed when freed
-	once    sync.Once
+	out     chan endpoint.Token // decode: buffered so that sends never block
+	ready   chan struct{}       // prefill: closed when the result is computed
+	freed   chan struct{}       // closed when the job is freed
+	endOnce sync.Once
 }
 
 func newJob(attempt, phase string) *job {
-	return &job{attempt: attempt, phase: phase, ready: make(chan struct{}), gone: make(chan struct{})}
+	return &job{attempt: attempt, phase: phase, ready: make(chan struct{}), freed: make(chan struct{})}
 }
 
-func (j *job) end() { j.once.Do(func() { close(j.gone) }) }
+func (j *job) end() { j.endOnce.Do(func() { close(j.freed) }) }
--- a/internal/standin/engine/prefill.go
+++ b/internal/standin/engine/prefill.go
@@ -27,11 +27,11 @@
 	e.jobs[p.Attempt] = j
 	e.queue = append(e.queue, j)
 	e.mu.Unlock()
-	e.poke()
+	e.wakeLoop()
 	select {
 	case <-j.ready:
 		reply(w, endpoint.PrefillResult{CachedTokens: j.cached})
-	case <-j.gone:
+	case <-j.freed:
 		http.Error(w, "cancelled", http.StatusGone)
 	}
 }
@@ -43,7 +43,7 @@
 		if j == nil {
 			select {
 			case <-e.wake:
-			case <-e.done:
+			case <-e.closed:
 				return
 			}
 			continue
@@ -52,8 +52,8 @@
 		select {
 		case <-time.After(e.scaled(work)):
 			e.finishPrefill(j)
-		case <-j.gone:
-		case <-e.done:
+		case <-j.freed:
+		case <-e.closed:
 			return
 		}
 	}
@@ -70,13 +70,13 @@
 		}
 		j.phase = phasePrefill
 		j.cached = min(e.cache.match(j.blocks)*blockTokens, j.tokens)
-		j.run = e.began(Run{Attempt: j.attempt, Phase: phasePrefill, Tokens: j.tokens - j.cached})
+		j.run = e.recordRun(Run{Attempt: j.attempt, Phase: phasePrefill, Tokens: j.tokens - j.cached})
 		return j
 	}
 	return nil
 }
 
-// finishPrefill keeps the result for a short time.
+// finishPrefill makes the result available for KVHold.
 func (e *Engine) finishPrefill(j *job) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -95,13 +95,13 @@
 	})
 }
 
-// kv is what a transfer carries in place of a real KV cache.
-type kv struct {
+// kvData stands for a KV cache in a transfer.
+type kvData struct {
 	Prompt string `json:"prompt"`
 	Tokens int    `json:"tokens"`
 }
 
-// fetch transfers a KV cache over the link and frees it here.
+// fetch transfers a KV cache over the link and frees it on this engine.
 func (e *Engine) fetch(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	j, ok := e.jobs[chi.URLParam(r, "attempt")]
@@ -115,7 +115,7 @@
 	e.mu.Unlock()
 	if stalled {
 		select {
-		case <-j.gone:
+		case <-j.freed:
 		case <-r.Context().Done():
 		}
 	} else {
@@ -130,14 +130,15 @@
 	}
 	j.run.Used = true
 	e.free(j)
-	reply(w, kv{Prompt: j.prompt, Tokens: j.tokens})
+	reply(w, kvData{Prompt: j.prompt, Tokens: j.tokens})
 }
 
+// transfer waits for the link and then for the duration of the transfer.
 func (e *Engine) transfer(j *job) {
 	e.link.Lock()
 	defer e.link.Unlock()
 	select {
 	case <-time.After(e.scaled(time.Duration(j.tokens) * time.Second / time.Duration(e.traits.LinkTokens))):
-	case <-j.gone:
+	case <-j.freed:
 	}
 }
--- a/internal/standin/engine/service.go
+++ b/internal/standin/engine/service.go
@@ -9,12 +9,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// call serves one request of a plain service. Its answer depends on the body,
-// so that a caller can tell its own from another's.
+// call serves one request of a plain service. The answer depends on the body, so
+// that a caller can detect an answer to another request.
 func (e *Engine) call(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // the request never arrived whole, so it does not run
+		return // the request is incomplete and does not run
 	}
 	j := newJob(r.Header.Get("X-Attempt"), phaseCall)
 	e.mu.Lock()
@@ -25,7 +25,7 @@
 		return
 	}
 	e.jobs[j.attempt] = j
-	run := e.began(Run{Attempt: j.attempt, Phase: phaseCall, Key: r.Header.Get("Idempotency-Key")})
+	run := e.recordRun(Run{Attempt: j.attempt, Phase: phaseCall, Key: r.Header.Get("Idempotency-Key")})
 	crashOn := e.faults.CrashOn
 	e.mu.Unlock()
 	if crashOn != "" && strings.Contains(string(body), crashOn) {
@@ -34,7 +34,7 @@
 	}
 	select {
 	case <-time.After(e.scaled(e.traits.CallTime)):
-	case <-j.gone:
+	case <-j.freed:
 	}
 	e.mu.Lock()
 	run.Used = true
@@ -43,5 +43,5 @@
 	reply(w, map[string]any{"confirmed": true, "digest": Digest(body)})
 }
 
-// Digest is what a plain service answers for a body.
+// Digest returns the digest with which a plain service answers a body.
 func Digest(body []byte) uint64 { return xxhash.Sum64(body) >> 12 } // exact in JSON numbers
--- a/internal/standin/engine/text.go
+++ b/internal/standin/engine/text.go
@@ -9,23 +9,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// defaultWords is the length of an answer whose prompt asks for none.
+// defaultWords is the length of an answer if the prompt does not set one.
 const defaultWords = 24
 
-// wanted lets a prompt set the length of its answer.
-var wanted = regexp.MustCompile(`\[out=(\d+)\]`)
+// answerLength matches the part of a prompt that sets the length of its answer.
+var answerLength = regexp.MustCompile(`\[out=(\d+)\]`)
 
 var syllables = strings.Fields("ka lo mi re su ta ve no pi da")
 
-// Answer returns the words that an engine generates for a prompt; they depend
-// on nothing else, so that a reader can check them.
-func Answer(prompt string, most int) []string {
+// Answer returns the words that an engine generates for a prompt, at most maxWords.
+// They depend on the prompt alone, so that a reader can check them.
+func Answer(prompt string, maxWords int) []string {
 	n := defaultWords
-	if m := wanted.FindStringSubmatch(prompt); m != nil {
+	if m := answerLength.FindStringSubmatch(prompt); m != nil {
 		n, _ = strconv.Atoi(m[1])
 	}
 	seed := xxhash.Sum64String(prompt)
-	words := make([]string, min(n, most))
+	words := make([]string, min(n, maxWords))
 	for i := range words {
 		words[i] = word(seed, i)
 	}
