--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet describes the stand-in endpoints of a demonstration, runs those
-// of one zone in one process and inspects them all.
+// Package fleet describes the stand-in endpoints of a demonstration. It runs those
+// of one zone in one process and evaluates the records of all of them.
 package fleet
 
 import (
@@ -28,7 +28,7 @@
 	Traits  engine.Traits `yaml:"traits"`
 }
 
-// Fleet is all of them.
+// Fleet is the stand-in endpoints of all zones.
 type Fleet struct {
 	Endpoints []Endpoint `yaml:"endpoints"`
 }
@@ -68,65 +68,65 @@
 	return nil
 }
 
-// Statements returns the operators' commands that create the fleet's pools and
-// endpoints.
+// Statements returns the operators' statements that create the fleet's zones, pools
+// and endpoints.
 func (f *Fleet) Statements() []string {
 	var all []string
-	seen := map[string]bool{}
-	once := func(statement string) {
-		if !seen[statement] {
-			seen[statement] = true
+	added := map[string]bool{}
+	addOnce := func(statement string) {
+		if !added[statement] {
+			added[statement] = true
 			all = append(all, statement)
 		}
 	}
 	for _, e := range f.Endpoints {
-		once("create zone " + e.Zone)
+		addOnce("create zone " + e.Zone)
 		pool := strings.Join([]string{e.Zone, e.Serves, string(e.Traits.Role)}, "-")
-		once(fmt.Sprintf("create pool %s zone = %s, role = %s, serves = %s", pool, e.Zone, e.Traits.Role, e.Serves))
-		once(fmt.Sprintf("create endpoint %s pool = %s, address = %s, slots = %d", e.Name, pool, e.Address, max(e.Traits.Slots, 20)))
+		addOnce(fmt.Sprintf("create pool %s zone = %s, role = %s, serves = %s", pool, e.Zone, e.Traits.Role, e.Serves))
+		addOnce(fmt.Sprintf("create endpoint %s pool = %s, address = %s, slots = %d", e.Name, pool, e.Address, max(e.Traits.Slots, 20)))
 	}
 	return all
 }
 
-// Findings is what the endpoints themselves say of a run.
+// Findings is the evaluation of what the endpoints recorded during a run.
 type Findings struct {
 	Prefilled  int // prompt tokens computed
-	Wasted     int // of them, for attempts whose answer was never finished
-	Decoded    int // attempts decoded to the end
+	Wasted     int // of these, for attempts whose answer was not completed
+	Decoded    int // attempts decoded completely
 	Calls      int
-	RanTwice   []string // keys that ran more than once
-	StillHeld  []string // attempts that hold memory
+	RanTwice   []string // idempotency keys that ran more than once
+	StillHeld  []string // attempts that still hold memory
 	Unreadable []string // endpoints that did not answer
 }
 
-// ledger adds up what the endpoints recorded.
-type ledger struct {
-	prefills map[string]int // tokens computed, by attempt
-	finished map[string]bool
-	keys     map[string]int
+// runTotals accumulates the runs that the endpoints recorded.
+type runTotals struct {
+	prefills map[string]int  // tokens computed, by attempt
+	finished map[string]bool // whether decoding completed, by attempt
+	keys     map[string]int  // runs, by idempotency key
 }
 
-func (l *ledger) add(r engine.Run) {
+func (t *runTotals) add(r engine.Run) {
 	switch r.Phase {
 	case "prefill":
-		l.prefills[r.Attempt] += r.Tokens
+		t.prefills[r.Attempt] += r.Tokens
 	case "decode":
-		l.finished[r.Attempt] = r.Used
+		t.finished[r.Attempt] = r.Used
 	case "call":
 		if r.Key != "" {
-			l.keys[r.Key]++
+			t.keys[r.Key]++
 		}
 	}
 }
 
-// Inspect reads all endpoints' own records.
+// Inspect fetches and evaluates the records of all endpoints.
 func (f *Fleet) Inspect(ctx context.Context) Findings {
 	var found Findings
-	l := ledger{prefills: map[string]int{}, finished: map[string]bool{}, keys: map[string]int{}}
+	t := runTotals{prefills: map[string]int{}, finished: map[string]bool{}, keys: map[string]int{}}
 	for _, e := range f.Endpoints {
 		var runs []engine.Run
 		var report endpoint.Report
-		if get(ctx, e.Address, "/control/runs", &runs) != nil || get(ctx, e.Address, "/report", &report) != nil {
+		if getJSON(ctx, e.Address, "/control/runs", &runs) != nil || getJSON(ctx, e.Address, "/report", &report) != nil {
 			found.Unreadable = append(found.Unreadable, e.Name)
 			continue
 		}
@@ -134,36 +134,36 @@
 			found.StillHeld = append(found.StillHeld, e.Name+" "+h.Attempt+" "+h.Phase)
 		}
 		for _, r := range runs {
-			l.add(r)
+			t.add(r)
 			if r.Phase == "call" {
 				found.Calls++
 			}
 		}
 	}
-	l.sum(&found)
+	t.sum(&found)
 	return found
 }
 
-func (l *ledger) sum(found *Findings) {
-	for attempt, tokens := range l.prefills {
+func (t *runTotals) sum(found *Findings) {
+	for attempt, tokens := range t.prefills {
 		found.Prefilled += tokens
-		if !l.finished[attempt] {
+		if !t.finished[attempt] {
 			found.Wasted += tokens
 		}
 	}
-	for _, done := range l.finished {
+	for _, done := range t.finished {
 		if done {
 			found.Decoded++
 		}
 	}
-	for key, n := range l.keys {
+	for key, n := range t.keys {
 		if n > 1 {
 			found.RanTwice = append(found.RanTwice, key)
 		}
 	}
 }
 
-func get(ctx context.Context, address, path string, into any) error {
+func getJSON(ctx context.Context, address, path string, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
--- a/internal/standin/peers/peers.go
+++ b/internal/standin/peers/peers.go
@@ -1,5 +1,5 @@
-// Package peers joins parts of two instances under test, "n1" and "n2", by their real
-// transport, over which each takes the other for whom it expects.
+// Package peers connects parts of two instances under test, "n1" and "n2", over the
+// real transport. Any certificate is accepted as that of the other instance.
 package peers
 
 import (
@@ -15,23 +15,24 @@
 	"github.com/trailshed/trailshed/internal/peer"
 )
 
-// others names the other one of two instances.
-var others = map[string]string{"n1": "n2", "n2": "n1"}
+// otherInstance maps the name of each of the two instances to that of the other.
+var otherInstance = map[string]string{"n1": "n2", "n2": "n1"}
 
-// Listen opens the transport of an instance, which takes every certificate. It returns
-// the fingerprint of its own.
+// Listen opens the transport of an instance, which accepts every certificate. It also
+// returns the fingerprint of the instance's own certificate.
 func Listen(t testing.TB, name string) (transport *peer.Transport, fingerprint string) {
 	t.Helper()
 	identity, err := peer.NewIdentity(name)
 	qt.Assert(t, err, qt.IsNil)
-	everybody := func(string) (string, bool) { return others[name], true }
-	transport, err = peer.Listen(name, netip.MustParseAddrPort("127.0.0.1:0"), peer.Pinned(identity, everybody), tally.NoopScope)
+	acceptAny := func(string) (string, bool) { return otherInstance[name], true }
+	transport, err = peer.Listen(name, netip.MustParseAddrPort("127.0.0.1:0"), peer.Pinned(identity, acceptAny), tally.NoopScope)
 	qt.Assert(t, err, qt.IsNil)
-	t.Cleanup(func() { _ = transport.Close() }) // the router, which subscribes through it, may have closed it
+	t.Cleanup(func() { _ = transport.Close() }) // the error is ignored, as the router that subscribes through it may have closed it
 	return transport, identity.Fingerprint
 }
 
-// Route has what register adds to a router answer messages until the test ends.
+// Route runs a message router with the handlers that register adds, until the test
+// ends.
 func Route(t testing.TB, register func(*message.Router)) {
 	t.Helper()
 	router, err := message.NewRouter(message.RouterConfig{}, watermill.NopLogger{})
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,4 +1,4 @@
-// Package platform is a small stand-in for the platform's key-value service,
+// Package platform is a simple stand-in for the platform's key-value service,
 // for tests and demonstrations. It keeps everything in memory.
 package platform
 
@@ -21,14 +21,14 @@
 	"github.com/trailshed/trailshed/internal/platform"
 )
 
-// Faults are the switches that tests set; the zero value is a healthy service.
+// Faults are the faults that tests inject; the zero value injects none.
 type Faults struct {
-	Outage      bool `json:"outage"`       // every call is answered 503
-	SlowMS      int  `json:"slow_ms"`      // added to every call
-	LoseAnswers int  `json:"lose_answers"` // writes to apply without an answer
+	Outage      bool `json:"outage"`       // every call fails with status 503
+	SlowMS      int  `json:"slow_ms"`      // delay of every call
+	LoseAnswers int  `json:"lose_answers"` // how many writes will be applied but answered with an error
 }
 
-// Counts is how many calls came, a waiting watch counted as one.
+// Counts is the number of calls received; a watch counts once.
 type Counts struct {
 	Reads   int64 `json:"reads"`
 	Writes  int64 `json:"writes"`
@@ -36,13 +36,13 @@
 	Refused int64 `json:"refused"`
 }
 
-// lease is a promise to keep keys until it ends.
+// lease keeps keys until it expires.
 type lease struct {
-	ends time.Time
-	keys map[string]bool
+	expires time.Time
+	keys    map[string]bool
 }
 
-// Platform is the stand-in.
+// Platform is a key-value service in memory.
 type Platform struct {
 	mu        sync.Mutex
 	entries   map[string]platform.Entry
@@ -52,13 +52,13 @@
 	faults    Faults
 	counts    Counts
 	instances []platform.Instance
-	lag       time.Duration // until a new list of instances is shown
+	lag       time.Duration // delay until a new list of instances is visible
 	writes    *rate.Limiter
 	reads     *rate.Limiter
 }
 
-// New returns an empty service that takes the given calls a second.
-// Its list of instances lags by the given time.
+// New returns an empty service that accepts the given numbers of calls a second and
+// refuses more. Its list of instances lags by the given time.
 func New(writesPerSecond, readsPerSecond int, lag time.Duration) *Platform {
 	return &Platform{
 		lag:     lag,
@@ -68,11 +68,12 @@
 	}
 }
 
-// Handler returns the service and, under /control, its switches.
+// Handler returns the service, with fault injection, the list of instances and
+// counts under /control.
 func (p *Platform) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Group(func(r chi.Router) {
-		r.Use(p.fault)
+		r.Use(p.injectFaults)
 		r.Get("/kv", p.list)
 		r.Get("/kv/{key}", p.get)
 		r.Put("/kv/{key}", p.put)
@@ -88,28 +89,29 @@
 	return r
 }
 
-// SetFaults replaces the switches.
+// SetFaults replaces the injected faults.
 func (p *Platform) SetFaults(f Faults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults = f
 }
 
-// Counts returns the calls counted so far.
+// Counts returns the number of calls received so far.
 func (p *Platform) Counts() Counts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.counts
 }
 
-func (p *Platform) fault(next http.Handler) http.Handler {
+// injectFaults counts calls, applies faults and refuses calls over the rate limits.
+func (p *Platform) injectFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		p.mu.Lock()
 		f := p.faults
 		p.count(r)
 		p.mu.Unlock()
 		if f.SlowMS > 0 {
-			pause(r.Context(), time.Duration(f.SlowMS)*time.Millisecond)
+			sleep(r.Context(), time.Duration(f.SlowMS)*time.Millisecond)
 		}
 		if f.Outage || !p.limiter(r).Allow() {
 			p.mu.Lock()
@@ -140,7 +142,7 @@
 	return p.writes
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
 	case <-ctx.Done():
@@ -159,7 +161,7 @@
 	reply(w, e)
 }
 
-// keyOf returns the key in the path, whose slashes are escaped.
+// keyOf returns the key in the path, with escaped slashes decoded.
 func keyOf(r *http.Request) string {
 	key, err := url.PathUnescape(chi.URLParam(r, "key"))
 	if err != nil {
@@ -232,7 +234,8 @@
 	reply(w, platform.Entry{Key: e.Key, Version: e.Version})
 }
 
-// store keeps e at the next index; the caller holds the lock.
+// store saves e with the next index as its version and wakes up watches; the caller
+// holds the lock.
 func (p *Platform) store(e platform.Entry) platform.Entry {
 	p.index++
 	e.Version = p.index
@@ -273,7 +276,7 @@
 	}
 }
 
-// since returns what changed under prefix later than index, oldest first.
+// since returns the entries under prefix that changed after index, oldest first.
 func (p *Platform) since(prefix string, index int64) []platform.Entry {
 	found := []platform.Entry{}
 	for key, e := range p.entries {
@@ -290,7 +293,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.index++
-	p.leases[p.index] = &lease{ends: time.Now().Add(time.Duration(ttl) * time.Millisecond), keys: map[string]bool{}}
+	p.leases[p.index] = &lease{expires: time.Now().Add(time.Duration(ttl) * time.Millisecond), keys: map[string]bool{}}
 	reply(w, map[string]int64{"id": p.index})
 }
 
@@ -305,15 +308,15 @@
 		http.Error(w, "no such lease", http.StatusNotFound)
 		return
 	}
-	l.ends = time.Now().Add(time.Duration(ttl) * time.Millisecond)
+	l.expires = time.Now().Add(time.Duration(ttl) * time.Millisecond)
 	reply(w, map[string]int64{"id": id})
 }
 
-// expire deletes the keys of ended leases; the caller holds the lock.
+// expire deletes expired leases and their keys; the caller holds the lock.
 func (p *Platform) expire() {
 	now := time.Now()
 	for id, l := range p.leases {
-		if l.ends.After(now) {
+		if l.expires.After(now) {
 			continue
 		}
 		delete(p.leases, id)
@@ -336,7 +339,7 @@
 	}
 }
 
-// SetInstances replaces the list of instances, which is shown after the lag.
+// SetInstances replaces the list of instances once the lag has passed.
 func (p *Platform) SetInstances(list []platform.Instance) {
 	time.AfterFunc(p.lag, func() {
 		p.mu.Lock()
--- a/internal/standin/seed/seed.go
+++ b/internal/standin/seed/seed.go
@@ -1,6 +1,6 @@
-// Package seed fixes the randomness of randomised tests, so that a run gives
-// the same verdict each time. TRAILSHED_SEED and TRAILSHED_CHECKS choose other
-// and longer runs.
+// Package seed fixes the seed of randomised tests, so that each run gives the same
+// result. The variables TRAILSHED_SEED and TRAILSHED_CHECKS set another seed and
+// number of checks.
 package seed
 
 import (
@@ -10,14 +10,14 @@
 	"testing"
 )
 
-// usualChecks is how many runs a randomised test makes.
-const usualChecks = 2000
+// defaultChecks is how many cases each randomised test runs.
+const defaultChecks = 2000
 
-// Main runs a package's tests with rapid's seed fixed; call it from TestMain
+// Main runs a package's tests with a fixed seed for rapid. It is called from TestMain
 // of packages that import rapid.
-func Main(m *testing.M) int { return MainOf(m, usualChecks) }
+func Main(m *testing.M) int { return MainOf(m, defaultChecks) }
 
-// MainOf is Main for a package whose runs take longer: so many are made.
+// MainOf is Main with a number of checks, for packages whose checks take longer.
 func MainOf(m *testing.M, checks int) int {
 	flag.Parse()
 	set("rapid.seed", "TRAILSHED_SEED", "20261202")
--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -1,5 +1,5 @@
-// Package site runs a platform, endpoints and nodes in one process, for tests
-// that need the whole path.
+// Package site runs a platform, endpoints and nodes in one process, for end-to-end
+// tests.
 package site
 
 import (
@@ -25,10 +25,10 @@
 	"github.com/trailshed/trailshed/internal/standin/platform"
 )
 
-// Token is the operators' token of all nodes.
+// Token is the operator token of all nodes.
 const Token = "operator"
 
-// Site is one set of everything.
+// Site is a platform with endpoints and nodes.
 type Site struct {
 	Platform *platform.Platform
 	Engines  map[string]*engine.Engine
@@ -43,7 +43,7 @@
 	seeds     []string
 }
 
-// Node is one node with its addresses.
+// Node is a running node with its addresses.
 type Node struct {
 	ID      string
 	Callers string
@@ -54,7 +54,7 @@
 	done    chan struct{}
 }
 
-// Open starts a platform that has room for certificates in dir.
+// Open starts a platform without endpoints or nodes; certificates are written to dir.
 func Open(dir string) (*Site, error) {
 	s := &Site{
 		Platform: platform.New(1000, 4000, 10*time.Millisecond), Engines: map[string]*engine.Engine{}, engines: map[string]*httptest.Server{},
@@ -66,7 +66,7 @@
 	return s, err
 }
 
-// Close stops everything, nodes first.
+// Close stops the nodes, then the endpoints and the platform.
 func (s *Site) Close() {
 	for _, n := range s.Nodes {
 		n.Stop()
@@ -91,7 +91,7 @@
 	e.Crash = func() { s.crash(name) }
 }
 
-// StartAgain gives an endpoint that has crashed a new process at its old address.
+// StartAgain restarts a crashed endpoint at its previous address.
 func (s *Site) StartAgain(name string) error {
 	l, err := net.Listen("tcp", s.addresses[name]) //nolint:noctx // closed with the site
 	if err != nil {
@@ -117,14 +117,15 @@
 	return s.engines[name]
 }
 
-// crash ends an endpoint's process from within one of its handlers.
+// crash simulates the end of an endpoint's process. It is called by one of the
+// endpoint's handlers.
 func (s *Site) crash(name string) {
 	server := s.engine(name)
 	_ = server.Listener.Close()
-	go server.CloseClientConnections() // it waits for the handlers
+	go server.CloseClientConnections() // in a goroutine, as it waits for the handlers
 }
 
-// KillEngine takes an endpoint's listener away.
+// KillEngine closes an endpoint's server and its connections.
 func (s *Site) KillEngine(name string) {
 	server := s.engine(name)
 	server.CloseClientConnections()
@@ -134,7 +135,8 @@
 // Address returns an endpoint's address.
 func (s *Site) Address(name string) string { return s.addresses[name] }
 
-// AddNode starts a node in a zone; change may alter its settings.
+// AddNode starts a node in a zone and waits until it is healthy. If change is not
+// nil, it modifies the settings first.
 func (s *Site) AddNode(id, zone string, change func(*settings.Settings)) (*Node, error) {
 	if err := s.authority.Issue(id); err != nil {
 		return nil, err
@@ -161,13 +163,14 @@
 	}()
 	s.Nodes = append(s.Nodes, n)
 	s.seeds = append(s.seeds, set.Peers.Listen)
-	return n, n.await()
+	return n, n.waitHealthy()
 }
 
-// Peers returns the address at which other nodes reach this one.
+// Peers returns the address at which other nodes connect to this one.
 func (n *Node) Peers() netip.AddrPort { return n.peers }
 
-// Cut separates two groups of nodes; with none, everyone hears everyone.
+// Cut drops the messages between the given nodes and all others. Without arguments it
+// ends the partition.
 func (s *Site) Cut(group ...*Node) {
 	for _, n := range s.Nodes {
 		inside := slices.Contains(group, n)
@@ -178,17 +181,17 @@
 	}
 }
 
-// Leave tells the node to stop and does not wait.
+// Leave starts stopping the node and does not wait.
 func (n *Node) Leave() { n.stop() }
 
-// Stop tells the node to stop and waits until it has.
+// Stop stops the node and waits until it has stopped.
 func (n *Node) Stop() {
 	n.stop()
 	<-n.done
 }
 
-// await waits until the node answers health checks.
-func (n *Node) await() error {
+// waitHealthy waits up to 10 s until the node answers health checks.
+func (n *Node) waitHealthy() error {
 	deadline := time.Now().Add(10 * time.Second)
 	for time.Now().Before(deadline) {
 		resp, err := http.Get("http://" + n.Admin + "/healthz") //nolint:noctx // a test's poll
@@ -197,7 +200,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	return fmt.Errorf("node %s does not answer", n.ID)
+	return fmt.Errorf("node %s does not answer health checks", n.ID)
 }
 
 func (s *Site) settings(id, zone string) (*settings.Settings, error) {
@@ -212,12 +215,12 @@
 callers: {listen: "127.0.0.1:%d", leave_delay: 100ms}
 admin: {listen: "127.0.0.1:%d", token: %s}
 platform: {address: "%s", timeout: 500ms, watch: 2s}
-`, id, zone, ports[0], quoted(s.seeds), filepath.Join(s.dir, "ca.pem"), file+".pem", file+".key",
+`, id, zone, ports[0], quoteList(s.seeds), filepath.Join(s.dir, "ca.pem"), file+".pem", file+".key",
 		ports[1], ports[2], Token, s.server.Listener.Addr())
 	return settings.Parse(id+".yaml", []byte(text))
 }
 
-func quoted(all []string) string {
+func quoteList(all []string) string {
 	parts := make([]string, 0, len(all))
 	for _, s := range all {
 		parts = append(parts, fmt.Sprintf("%q", s))
@@ -225,7 +228,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// freePorts finds ports that are free for TCP and UDP.
+// freePorts returns n ports that are free for both TCP and UDP.
 func freePorts(n int) ([]uint16, error) {
 	var ports []uint16
 	for len(ports) < n {
