--- a/internal/command/admin_client.go
+++ b/internal/command/admin_client.go
@@ -17,16 +17,16 @@
 // adminClient sends statements to the admin address of a running process. Its options are
 // shared by all commands that embed it.
 type adminClient struct {
-	Admin string `short:"a" long:"admin" env:"TRAILSHED_ADMIN" default:"127.0.0.1:7200" value-name:"ADDRESS" description:"operators' address of any process"`
-	Token string `short:"t" long:"token" env:"TRAILSHED_TOKEN" value-name:"SECRET" description:"operators' token"`
-	Who   string `long:"as" env:"TRAILSHED_AS" value-name:"NAME" description:"name for the audit trail"`
-	JSON  bool   `long:"json" description:"print JSON instead of a table"`
+	Admin    string `short:"a" long:"admin" env:"TRAILSHED_ADMIN" default:"127.0.0.1:7200" value-name:"ADDRESS" description:"operators' address of any process"`
+	Token    string `short:"t" long:"token" env:"TRAILSHED_TOKEN" value-name:"SECRET" description:"operators' token"`
+	Operator string `long:"as" env:"TRAILSHED_AS" value-name:"NAME" description:"name for the audit trail"`
+	JSON     bool   `long:"json" description:"print JSON instead of a table"`
 }
 
 // send runs a statement on the process and returns its answer.
 func (c *adminClient) send(text string, base int64) (query.Table, error) {
 	var t query.Table
-	body, err := json.Marshal(node.Statement{Text: text, Who: c.who(), Base: base})
+	body, err := json.Marshal(node.Statement{Text: text, Who: c.operator(), Base: base})
 	if err != nil {
 		return t, Error.Wrap(err)
 	}
@@ -52,9 +52,11 @@
 	return t, Error.Wrap(json.NewDecoder(resp.Body).Decode(&t))
 }
 
-func (c *adminClient) who() string {
-	if c.Who != "" {
-		return c.Who
+// operator returns the name for the audit trail: the option --as, or else the user that
+// runs the command.
+func (c *adminClient) operator() string {
+	if c.Operator != "" {
+		return c.Operator
 	}
 	if u, err := user.Current(); err == nil {
 		return u.Username
--- a/internal/command/bench_test.go
+++ b/internal/command/bench_test.go
@@ -15,9 +15,9 @@
 func run(t *testing.T, args ...string) (int, string) {
 	t.Helper()
 	var out bytes.Buffer
-	before := command.Output
+	previous := command.Output
 	command.Output = &out
-	defer func() { command.Output = before }()
+	defer func() { command.Output = previous }()
 	status := command.Run(args)
 	return status, out.String()
 }
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -56,7 +56,7 @@
 		{"gateway", "route on a platform", "Runs one process that routes requests on the users' platform until it receives SIGTERM, then waits for running requests to finish.", &gatewayCommand{}},
 		{"check", "check a settings file", "Checks a settings file and reports the file, line, key and value of each error.", &check{}},
 		{"query", "run a read-only statement", "Runs a read-only statement, such as 'show running' or 'explain REQUEST'.", &queryCommand{}},
-		{"do", "run statements that change things", "Runs statements that may change the configuration, such as 'drain endpoint NAME'.", &do{}},
+		{"do", "run statements that may change the configuration", "Runs statements that may change the configuration, such as 'drain endpoint NAME'.", &do{}},
 		{"explain-log", "show what happened to a request", "Reads the logs of any number of gateways on standard input and prints, in order of time, what happened to one request.", &explainLog{}},
 		{"replay", "replay a recorded trace", "Replays a recorded trace of requests against running processes and checks every answer.", &replay{}},
 		{"bench", "run an experiment", "Runs the experiment described by a plan in emulated time: compares policies under the same load and faults, and prints tables, draws plots and writes a result file for later comparison.", &bench{}},
--- a/internal/story/story_test.go
+++ b/internal/story/story_test.go
@@ -25,9 +25,9 @@
 	c := qt.New(t)
 	s, err := story.Read(strings.NewReader(logs), "r1")
 	c.Assert(err, qt.IsNil)
-	var told strings.Builder
-	c.Assert(s.Write(&told), qt.IsNil)
-	c.Assert(told.String(), qt.Equals, `   -100 ms  n1  belief: endpoint leaving e1 at revision 7
+	var text strings.Builder
+	c.Assert(s.Write(&text), qt.IsNil)
+	c.Assert(text.String(), qt.Equals, `   -100 ms  n1  belief: endpoint leaving e1 at revision 7
      +0 ms  n1  send 1 to endpoint e2 of s, with 800 ms left, under configuration 3
     +30 ms  n1  endpoint e2 failed this request (no_answer) [reset; by peer]
     +40 ms  n1  send 2 to endpoint e1 of s, with 760 ms left, under configuration 3
--- a/internal/trace/report.go
+++ b/internal/trace/report.go
@@ -178,7 +178,7 @@
 	}
 }
 
-func percent(part, whole int) float64 { return 100 * float64(part) / float64(max(whole, 1)) }
+func percent(n, total int) float64 { return 100 * float64(n) / float64(max(total, 1)) }
 
 func quantiles(h *hdrhistogram.Histogram) string {
 	ms := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
--- a/pkg/clock/suspend_test.go
+++ b/pkg/clock/suspend_test.go
@@ -44,7 +44,7 @@
 	}{
 		{"runs", func(m *fakeMachine) { m.run(3 * time.Second) }, 3 * time.Second},
 		{"suspended", func(m *fakeMachine) { m.run(time.Second); m.suspend(5 * time.Second) }, 6 * time.Second},
-		{"suspended for a moment", func(m *fakeMachine) { m.suspend(40 * time.Millisecond) }, 40 * time.Millisecond},
+		{"suspended for 40 ms", func(m *fakeMachine) { m.suspend(40 * time.Millisecond) }, 40 * time.Millisecond},
 		{"wall clock steps forward", func(m *fakeMachine) { m.run(time.Second); m.step(4 * time.Second) }, time.Second},
 		{"wall clock steps back", func(m *fakeMachine) { m.run(time.Second); m.step(-4 * time.Second) }, time.Second},
 		{
