--- a/internal/story/story.go
+++ b/internal/story/story.go
@@ -48,8 +48,8 @@
 	raw []byte
 }
 
-// beliefWindow is how long before a request's first line lines that name no request are
-// included.
+// beliefWindow is how long before the request's first line other lines of its instances
+// are included.
 const beliefWindow = 5 * time.Second
 
 // Story is the selected log lines of one request, in order of time.
