--- a/internal/command/bench_test.go
+++ b/internal/command/bench_test.go
@@ -11,13 +11,13 @@
 	"github.com/trailshed/trailshed/internal/command"
 )
 
-// run runs a command line and returns its status and what it printed.
+// run runs a command line and returns its exit status and output.
 func run(t *testing.T, args ...string) (int, string) {
 	t.Helper()
 	var out bytes.Buffer
-	before := command.Output
+	previous := command.Output
 	command.Output = &out
-	defer func() { command.Output = before }()
+	defer func() { command.Output = previous }()
 	status := command.Run(args)
 	return status, out.String()
 }
@@ -37,7 +37,7 @@
 		{"compared with the result", []string{"bench", plan, "--against", result}, 0, "+0.00 ± 0.00"},
 		{"the built-in plan", []string{"bench", "--print-default"}, 0, "prefill_rate:"},
 		{"no plan", []string{"bench"}, 1, ""},
-		{"a wrong plan", []string{"bench", wrong}, 1, ""},
+		{"an invalid plan", []string{"bench", wrong}, 1, ""},
 		{"no such result", []string{"bench", plan, "--against", wrong + "x"}, 1, ""},
 	}
 	for _, test := range tests {
