--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -67,7 +67,7 @@
 func runGateway(settings string) int {
 	source, err := clocks.Open(clocks.Path(settings))
 	if err == nil {
-		err = trailshed.Gateway(settings, source)
+		err = trailshed.RunGateway(settings, source)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -130,11 +130,11 @@
 // recovered and all promises were kept.
 func (c *command) runSeed(ctx context.Context, job int, seed uint64) bool {
 	o := fleet.Options{
-		Program: c.Program, Dir: c.Dir, Seed: seed, Length: time.Duration(c.Seconds) * time.Second,
-		Network: network(job), PerZone: c.PerZone, Callers: c.Callers, Timed: c.Timed, Only: schedule.Kind(c.Only),
+		Program: c.Program, Dir: c.Dir, Seed: seed, FaultDuration: time.Duration(c.Seconds) * time.Second,
+		Network: network(job), PerZone: c.PerZone, Callers: c.Callers, Timed: c.Timed, OnlyKind: schedule.Kind(c.Only),
 	}
-	o.More = !c.Plain && !c.FailedSeeds
-	if o.More || o.Only == schedule.Suspend {
+	o.ExtraSteps = !c.Plain && !c.FailedSeeds
+	if o.ExtraSteps || o.OnlyKind == schedule.Suspend {
 		if self, err := os.Executable(); err == nil {
 			o.Program = self
 		}
@@ -143,9 +143,9 @@
 		o.Zones = append(o.Zones, string(rune('a'+zone)))
 	}
 	r, err := fleet.Run(ctx, o)
-	fmt.Printf("seed %d: %d steps, %d of %d requests answered well, %d violations\n", seed, r.Steps, r.Good, r.All, len(r.Violations))
+	fmt.Printf("seed %d: %d steps, %d of %d requests answered well, %d violations\n", seed, r.Steps, r.Succeeded, r.Requests, len(r.Violations))
 	for _, v := range r.Violations {
-		fmt.Printf("  %s: %s: %s\n%s", v.Promise, v.ID, v.What, r.Faults.Around(v.At.Add(-4*time.Second), v.At.Add(time.Second)))
+		fmt.Printf("  %s: %s: %s\n%s", v.Promise, v.ID, v.What, r.Faults.Describe(v.At.Add(-4*time.Second), v.At.Add(time.Second)))
 	}
 	if err != nil {
 		fmt.Printf("  recovery: %v\n", err)
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -128,7 +128,7 @@
 	case "slope":
 		w = record.Slope(c.Rate, c.Tokens, c.Out)
 	}
-	return w.Make(c.Seconds, c.Scale, c.Seed).Write(os.Stdout)
+	return w.Generate(c.Seconds, c.Scale, c.Seed).Write(os.Stdout)
 }
 
 type statementsCommand struct{ fleetFile }
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -39,20 +39,20 @@
 	jitter = 0.5
 )
 
-// Verdict is a gate's decision on a request.
-type Verdict struct {
-	Admitted bool
-	After    time.Duration // after which a refused caller may retry
-	Pass     float64       // fraction of requests to admit
-	Used     float64       // units executed within a window by all instances, as of the latest update
-	Limit    quota.Limit
-	Age      time.Duration // of the latest update
-	Alone    bool          // no recent update: the instance enforces its own share of the limit
+// Decision is a gate's decision on a request.
+type Decision struct {
+	Admitted   bool
+	RetryAfter time.Duration // after which a refused caller may retry
+	Pass       float64       // fraction of requests to admit
+	Used       float64       // units executed within a window by all instances, as of the latest update
+	Limit      quota.Limit
+	Age        time.Duration // of the latest update
+	Isolated   bool          // no recent update: the instance enforces its own share of the limit
 }
 
 // String lists the inputs of the decision, for the log.
-func (v Verdict) String() string {
-	return fmt.Sprintf("used %.0f, limit %.0f/s, burst %.0f, pass %.2f, isolated %t", v.Used, v.Limit.Rate, v.Limit.Burst, v.Pass, v.Alone)
+func (v Decision) String() string {
+	return fmt.Sprintf("used %.0f, limit %.0f/s, burst %.0f, pass %.2f, isolated %t", v.Used, v.Limit.Rate, v.Limit.Burst, v.Pass, v.Isolated)
 }
 
 // Gate admits requests of one instance. It is not safe for concurrent use.
@@ -91,26 +91,26 @@
 
 // Admit counts a request of a number of units, unless it is refused. instances is the
 // number of instances among which the limit is divided while there are no updates.
-func (g *Gate) Admit(now clock.Millis, workspace string, l quota.Limit, units float64, instances int) Verdict {
+func (g *Gate) Admit(now clock.Millis, workspace string, l quota.Limit, units float64, instances int) Decision {
 	s := g.state(workspace)
-	s.use.Asked += units
+	s.use.Requested += units
 	until := g.trustedUntil(s)
-	v := Verdict{Limit: l, Pass: s.pass, Used: s.used, Age: now.Sub(g.updatedAt), Alone: now > until}
+	v := Decision{Limit: l, Pass: s.pass, Used: s.used, Age: now.Sub(g.updatedAt), Isolated: now > until}
 	share := l.Rate / float64(max(instances, 1))
 	switch {
-	case v.Alone:
-		v.Admitted, v.After = s.admitByShare(now, until, share, units)
+	case v.Isolated:
+		v.Admitted, v.RetryAfter = s.admitByShare(now, until, share, units)
 	case g.updatedAt == 0:
 		v.Admitted = s.use.Ran <= startupShareFactor*share*now.Sub(g.startedAt).Seconds()
 	default:
-		v.Admitted, v.After = s.admitByRatio()
+		v.Admitted, v.RetryAfter = s.admitByRatio()
 	}
 	if v.Admitted {
 		s.use.Ran += units
 		return v
 	}
 	g.refused++
-	v.After = g.jitter(min(max(v.After, minRetryAfter), maxRetryAfter))
+	v.RetryAfter = g.jitter(min(max(v.RetryAfter, minRetryAfter), maxRetryAfter))
 	return v
 }
 
@@ -188,21 +188,21 @@
 	return uses
 }
 
-// Hear applies an update of a ledger. Workspaces that it omits are not limited.
-func (g *Gate) Hear(now clock.Millis, words []quota.Word) {
+// Update applies an update of a ledger. Workspaces that it omits are not limited.
+func (g *Gate) Update(now clock.Millis, words []quota.Status) {
 	g.updatedAt = now
 	for _, s := range g.workspaces {
 		s.pass, s.used, s.nearLimit = 1, 0, false
 	}
 	for _, w := range words {
 		s := g.state(w.Workspace)
-		s.pass, s.used, s.nearLimit = w.Pass, w.Used, true
+		s.pass, s.used, s.nearLimit = w.AdmitRatio, w.Used, true
 	}
 }
 
-// Near reports whether some workspace was near its limit in the latest update, so that
+// NearLimit reports whether some workspace was near its limit in the latest update, so that
 // reports should be frequent.
-func (g *Gate) Near() bool {
+func (g *Gate) NearLimit() bool {
 	for _, s := range g.workspaces {
 		if s.nearLimit {
 			return true
--- a/internal/admission/gate_test.go
+++ b/internal/admission/gate_test.go
@@ -32,12 +32,12 @@
 // start of its instance, and otherwise enforces its share of the limit: 2,500 tokens a
 // second.
 func TestAdmissionModes(t *testing.T) {
-	word := func(pass float64) []quota.Word { return []quota.Word{{Workspace: "w", Pass: pass}} }
-	far := []quota.Word{}
+	word := func(pass float64) []quota.Status { return []quota.Status{{Workspace: "w", AdmitRatio: pass}} }
+	far := []quota.Status{}
 	tests := []struct {
 		name  string
-		words []quota.Word // updates received at 1 s; nil: none
-		at    clock.Millis // of the first of ten requests
+		words []quota.Status // updates received at 1 s; nil: none
+		at    clock.Millis   // of the first of ten requests
 		apart time.Duration
 		least int
 		most  int
@@ -54,7 +54,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			g := admission.New(0)
 			if test.words != nil {
-				g.Hear(1000, test.words)
+				g.Update(1000, test.words)
 			}
 			got := admitted(g, test.at, 10, test.apart)
 			qt.Assert(t, got >= test.least && got <= test.most, qt.IsTrue, qt.Commentf("%d", got))
@@ -90,7 +90,7 @@
 func TestSizesAreTreatedAlike(t *testing.T) {
 	c := qt.New(t)
 	g := admission.New(1)
-	g.Hear(1, []quota.Word{{Workspace: "w", Pass: 0.4}})
+	g.Update(1, []quota.Status{{Workspace: "w", AdmitRatio: 0.4}})
 	admitted := map[float64]int{}
 	for n := range 3000 {
 		units := 200.0
@@ -110,17 +110,17 @@
 	g := admission.New(1)
 	c.Assert(g.Admit(2, "w", limit, 500, 8).Admitted, qt.IsTrue)
 	g.Credit("w", 500)
-	c.Assert(g.Report(false), qt.DeepEquals, []quota.Use{{Workspace: "w", Asked: 500}})
+	c.Assert(g.Report(false), qt.DeepEquals, []quota.Use{{Workspace: "w", Requested: 500}})
 	c.Assert(g.Report(false), qt.HasLen, 0)
 }
 
 // Callers that are refused together get different retry delays.
 func ExampleGate_Admit() {
 	g := admission.New(0)
-	g.Hear(1000, []quota.Word{{Workspace: "w", Pass: 0, Used: 1_900_000}})
+	g.Update(1000, []quota.Status{{Workspace: "w", AdmitRatio: 0, Used: 1_900_000}})
 	for range 3 {
 		v := g.Admit(1000, "w", limit, request, 80)
-		fmt.Println(v.Admitted, v.After.Round(100*time.Millisecond))
+		fmt.Println(v.Admitted, v.RetryAfter.Round(100*time.Millisecond))
 	}
 	// Output:
 	// false 4.2s
--- a/internal/balance/balancer.go
+++ b/internal/balance/balancer.go
@@ -43,8 +43,8 @@
 	initialWork = 60.0 // ms
 )
 
-// Ask describes the endpoints that a request may use.
-type Ask struct {
+// Request describes the endpoints that a request may use.
+type Request struct {
 	Service string
 	Stage   directory.Stage
 	Exclude []string // ids of endpoints already tried
@@ -59,11 +59,11 @@
 
 // The values of Result.
 const (
-	Good        Result = iota // an answer with any status
+	Succeeded   Result = iota // an answer with any status
 	Failed                    // a failure that another endpoint might not have had
 	Rejected                  // the endpoint reported that it did not run the request
 	Unreachable               // no connection
-	Abandoned                 // canceled on this side; says nothing about the endpoint
+	Canceled                  // canceled on this side; says nothing about the endpoint
 )
 
 // Load is an endpoint's load report.
@@ -110,7 +110,7 @@
 // Reserve chooses the endpoint with the shortest predicted wait. Ejected endpoints are
 // used only if there are no others, and endpoints in backoff never. It returns nil if
 // there is none.
-func (b *Balancer) Reserve(now clock.Millis, view *directory.View, req Ask) *Reservation {
+func (b *Balancer) Reserve(now clock.Millis, view *directory.View, req Request) *Reservation {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var best *directory.Endpoint
@@ -145,28 +145,30 @@
 func (b *Balancer) ReserveAt(now clock.Millis, e *directory.Endpoint) *Reservation {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.backoffs.Closed(now, e.ID) {
+	if b.backoffs.Unavailable(now, e.ID) {
 		return nil
 	}
 	return b.newReservation(now, e)
 }
 
-// Resting returns the ids of the endpoints in backoff.
-func (b *Balancer) Resting(now clock.Millis) []string { return b.backoffs.All(now) }
+// BackedOff returns the ids of the endpoints in backoff.
+func (b *Balancer) BackedOff(now clock.Millis) []string { return b.backoffs.All(now) }
 
-// Rests reports whether an endpoint is in backoff.
-func (b *Balancer) Rests(now clock.Millis, id string) bool { return b.backoffs.Closed(now, id) }
+// InBackoff reports whether an endpoint is in backoff.
+func (b *Balancer) InBackoff(now clock.Millis, id string) bool {
+	return b.backoffs.Unavailable(now, id)
+}
 
-// RestsFor returns how long until the first of the endpoints for a request may be used,
+// BackoffLeft returns how long until the first of the endpoints for a request may be used,
 // and whether that one is withheld, provided that all of them are in backoff or
 // withheld; otherwise it returns 0.
-func (b *Balancer) RestsFor(now clock.Millis, view *directory.View, req Ask) (least time.Duration, withheld bool) {
+func (b *Balancer) BackoffLeft(now clock.Millis, view *directory.View, req Request) (least time.Duration, withheld bool) {
 	found := false
 	for e := range view.Service(req.Service) {
 		if !req.fits(e) {
 			continue
 		}
-		backoff := b.backoffs.Left(now, e.ID)
+		backoff := b.backoffs.Remaining(now, e.ID)
 		if backoff <= 0 && req.Withheld[e.ID] <= 0 {
 			return 0, false
 		}
@@ -238,20 +240,20 @@
 	return s
 }
 
-// Told records the load that an answer reports.
-func (r *Reservation) Told(now clock.Millis, l Load) {
+// ReportLoad records the load that an answer reports.
+func (r *Reservation) ReportLoad(now clock.Millis, l Load) {
 	r.balancer.mu.Lock()
 	defer r.balancer.mu.Unlock()
 	s := r.balancer.state(r.Endpoint.ID)
 	s.load, s.loadAt = l, now
 }
 
-// Rest records an endpoint's notice that it wants no requests for a time. It returns
+// BackOff records an endpoint's notice that it wants no requests for a time. It returns
 // false if that was known already. A rejected request counts neither as a failure nor
 // as load. Without the backoff, an endpoint that rejects everything looks like the best
 // one to each new request, and retries use up the retry budget.
-func (b *Balancer) Rest(now clock.Millis, id string, length time.Duration) (changed bool) {
-	return b.backoffs.Take(now, id, notice.Notice{Rest: length})
+func (b *Balancer) BackOff(now clock.Millis, id string, length time.Duration) (changed bool) {
+	return b.backoffs.Record(now, id, notice.Notice{Backoff: length})
 }
 
 // Done ends the reservation and records the result. If the result ejects the endpoint,
@@ -267,7 +269,7 @@
 	s := b.state(r.Endpoint.ID)
 	s.running--
 	switch result {
-	case Good:
+	case Succeeded:
 		s.unreachable = false
 		s.failureRate *= 1 - failureWeight
 		s.work += (float64(now.Sub(r.start).Milliseconds()) - s.work) * failureWeight
@@ -282,7 +284,7 @@
 		return s.eject(now)
 	case Rejected:
 		s.unreachable = false
-	case Abandoned:
+	case Canceled:
 	}
 	return 0
 }
@@ -313,10 +315,10 @@
 // servesStage reports whether an endpoint accepts requests of a stage; it rejects those
 // of the other one.
 func servesStage(e *directory.Endpoint, s directory.Stage) bool {
-	return e.Stage == s || e.Stage == directory.Whole && s == directory.Decode
+	return e.Stage == s || e.Stage == directory.Combined && s == directory.Decode
 }
 
 // fits reports whether the request may use the endpoint, regardless of its state here.
-func (req Ask) fits(e *directory.Endpoint) bool {
+func (req Request) fits(e *directory.Endpoint) bool {
 	return e.State == directory.Ready && servesStage(e, req.Stage) && req.Area.Allows(e.Zone) && !slices.Contains(req.Exclude, e.ID)
 }
--- a/internal/balance/balancer_test.go
+++ b/internal/balance/balancer_test.go
@@ -42,7 +42,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			b := balance.New("a", nil)
-			ask := balance.Ask{Service: "web", Stage: directory.Decode, Exclude: test.exclude}
+			ask := balance.Request{Service: "web", Stage: directory.Decode, Exclude: test.exclude}
 			for range test.before {
 				b.Reserve(1000, test.view, ask)
 			}
@@ -66,8 +66,8 @@
 		{"failed once", []balance.Result{balance.Failed}, false},
 		{"failed repeatedly", repeat(balance.Failed, 5), true},
 		{"rejected repeatedly", repeat(balance.Rejected, 9), false},
-		{"always fails one in seven", append(repeat(balance.Good, 6), balance.Failed, balance.Good, balance.Failed), false},
-		{"canceled by callers", repeat(balance.Abandoned, 9), false},
+		{"always fails one in seven", append(repeat(balance.Succeeded, 6), balance.Failed, balance.Succeeded, balance.Failed), false},
+		{"canceled by callers", repeat(balance.Canceled, 9), false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -75,7 +75,7 @@
 			b := balance.New("a", nil)
 			only := view(directory.Endpoint{ID: "e1", Zone: "a", Slots: 2})
 			both := view(directory.Endpoint{ID: "e1", Zone: "a", Slots: 2}, directory.Endpoint{ID: "e2", Zone: "b", Slots: 2})
-			ask := balance.Ask{Service: "web", Stage: directory.Decode}
+			ask := balance.Request{Service: "web", Stage: directory.Decode}
 			now := clock.Millis(1000)
 			for _, result := range test.results {
 				r := b.Reserve(now, only, ask)
@@ -84,7 +84,7 @@
 			}
 			r := b.Reserve(now, both, ask)
 			c.Assert(r.Endpoint.ID == "e2", qt.Equals, test.ejected)
-			r.Done(now, balance.Abandoned)
+			r.Done(now, balance.Canceled)
 			later := b.Reserve(now.Add(20_000_000_000), both, ask)
 			c.Assert(later.Endpoint.ID, qt.Equals, "e1")
 		})
@@ -97,13 +97,13 @@
 	c := qt.New(t)
 	b := balance.New("a", nil)
 	only := view(directory.Endpoint{ID: "e1", Zone: "a", Slots: 2})
-	ask := balance.Ask{Service: "web", Stage: directory.Decode}
+	ask := balance.Request{Service: "web", Stage: directory.Decode}
 	b.Reserve(1000, only, ask).Done(1250, balance.Unreachable)
 	c.Assert(b.Reserve(1300, only, ask), qt.IsNil)
 	probe := b.Reserve(1450, only, ask)
 	c.Assert(probe, qt.IsNotNil)
 	c.Assert(b.Reserve(1451, only, ask), qt.IsNil)
-	probe.Done(1460, balance.Good)
+	probe.Done(1460, balance.Succeeded)
 	c.Assert(b.Reserve(1461, only, ask), qt.IsNotNil)
 }
 
@@ -122,13 +122,13 @@
 	near := directory.Endpoint{ID: "near", Zone: "a", Slots: 2, Service: "web"}
 	far := directory.Endpoint{ID: "far", Zone: "b", Slots: 2}
 	b := balance.New("a", nil)
-	ask := balance.Ask{Service: "web", Stage: directory.Decode}
-	c.Assert(b.Rest(1000, "near", 3*time.Second), qt.IsTrue)
-	c.Assert(b.Rest(1500, "near", time.Second), qt.IsFalse) // ends before the known backoff
+	ask := balance.Request{Service: "web", Stage: directory.Decode}
+	c.Assert(b.BackOff(1000, "near", 3*time.Second), qt.IsTrue)
+	c.Assert(b.BackOff(1500, "near", time.Second), qt.IsFalse) // ends before the known backoff
 	c.Assert(b.Reserve(1501, view(near, far), ask).Endpoint.ID, qt.Equals, "far")
 	c.Assert(b.Reserve(1501, view(near), ask), qt.IsNil)
 	c.Assert(b.ReserveAt(1501, &near), qt.IsNil)
-	c.Assert(b.Resting(1501), qt.DeepEquals, []string{"near"})
+	c.Assert(b.BackedOff(1501), qt.DeepEquals, []string{"near"})
 	for _, test := range []struct {
 		view     *directory.View
 		withheld map[string]time.Duration
@@ -142,15 +142,15 @@
 	} {
 		withheld := ask
 		withheld.Withheld = test.withheld
-		backoff, limited := b.RestsFor(1500, test.view, withheld)
+		backoff, limited := b.BackoffLeft(1500, test.view, withheld)
 		c.Check(backoff, qt.Equals, test.backoff)
 		c.Check(limited, qt.Equals, test.limited)
 	}
 	b.Forget(view(far))
-	c.Assert(b.Rests(3999, "near"), qt.IsTrue)
-	c.Assert(b.Rests(4000, "near"), qt.IsFalse)
+	c.Assert(b.InBackoff(3999, "near"), qt.IsTrue)
+	c.Assert(b.InBackoff(4000, "near"), qt.IsFalse)
 	c.Assert(b.ReserveAt(4000, &near), qt.IsNotNil)
-	c.Assert(b.Rest(4000, "near", time.Second), qt.IsTrue)
+	c.Assert(b.BackOff(4000, "near", time.Second), qt.IsTrue)
 }
 
 // A request goes to its own zone, then to another zone of its region, and leaves the
@@ -161,7 +161,7 @@
 	b := balance.New("a", regions)
 	var order []string
 	for range 4 {
-		order = append(order, b.Reserve(0, view(endpoints...), balance.Ask{Service: "web", Stage: directory.Decode}).Endpoint.ID)
+		order = append(order, b.Reserve(0, view(endpoints...), balance.Request{Service: "web", Stage: directory.Decode}).Endpoint.ID)
 	}
 	qt.Assert(t, order, qt.DeepEquals, []string{"e-a", "e-b", "e-a", "e-c"})
 }
--- a/internal/broker/announce.go
+++ b/internal/broker/announce.go
@@ -16,13 +16,13 @@
 func (b *Broker) announce() {
 	b.announceCount++
 	var figures []pace.Figure
-	if b.announceCount%figuresPeriod == 0 && b.Plans() {
+	if b.announceCount%figuresPeriod == 0 && b.IsPlanner() {
 		figures = b.Paces.Figures()
 	}
 	for _, zone := range b.zones() {
 		a := b.newAnnouncement(zone)
 		a.Figures = figures
-		if !b.recentlyUsed(zone) && len(a.Holds) == 0 && len(figures) == 0 {
+		if !b.recentlyUsed(zone) && len(a.Allocations) == 0 && len(figures) == 0 {
 			continue
 		}
 		b.notifyPlanners(zone, topicAnnounce, a)
@@ -66,15 +66,15 @@
 	return ok && b.Now().Sub(at) < zoneUseTimeout
 }
 
-func (b *Broker) newAnnouncement(zone string) placement.Announce {
-	a := placement.Announce{Owner: b.Name, Zone: zone}
+func (b *Broker) newAnnouncement(zone string) placement.Announcement {
+	a := placement.Announcement{Owner: b.Name, Zone: zone}
 	now := b.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, p := range b.places {
 		if p.Zone == zone {
-			a.Holds = append(a.Holds, placement.Hold{
-				ID: p.ID, Decode: p.Decode, Prompt: p.ask.Prompt, Length: p.Length, Running: now.Sub(p.grantedAt),
+			a.Allocations = append(a.Allocations, placement.HeldAllocation{
+				ID: p.ID, Decode: p.Decode, Prompt: p.ask.Prompt, ExpectedTokens: p.ExpectedTokens, Running: now.Sub(p.grantedAt),
 			})
 		}
 	}
@@ -82,7 +82,7 @@
 }
 
 // handleAnnounce applies the places and the engine speeds that another instance announced.
-func (b *Broker) handleAnnounce(a placement.Announce) {
-	b.Paces.Tell(a.Owner, a.Figures)
+func (b *Broker) handleAnnounce(a placement.Announcement) {
+	b.Paces.SetFigures(a.Owner, a.Figures)
 	b.handleEvent(a)
 }
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -87,13 +87,13 @@
 	Regions map[string]string
 	// Paces is this instance's model of the engines' speed.
 	Paces *pace.Model
-	// Load requests the current load of an engine in this instance's zone.
-	Load Load
-	// Spent returns the engines of this instance's zone that may get no more requests now,
+	// FetchLoad requests the current load of an engine in this instance's zone.
+	FetchLoad FetchLoadFunc
+	// Exhausted returns the engines of this instance's zone that may get no more requests now,
 	// and the time until the first of them may again.
-	Spent func() (engines []string, next time.Duration)
-	// Saw is called with each request for a place that reaches this instance's planner.
-	Saw func(a placement.Ask)
+	Exhausted func() (engines []string, next time.Duration)
+	// OnAsk is called with each request for a place that reaches this instance's planner.
+	OnAsk func(a placement.Request)
 }
 
 // Broker finds places at engines. Lock order: plannerMu, then mu.
@@ -107,7 +107,7 @@
 
 	mu              sync.Mutex
 	places          map[string]*Place
-	pending         map[string]chan placement.Verdict
+	pending         map[string]chan placement.Decision
 	backoffs        map[string]backoff        // by certificate fingerprint
 	usedAt          map[string]clock.Millis   // by zone
 	responded       map[string]bool           // planners that have answered, by certificate fingerprint
@@ -123,7 +123,7 @@
 	placement.Grant
 	Zone         string
 	prefillPlace *Place // place of the prefill, if another zone's planner assigned it
-	ask          placement.Ask
+	ask          placement.Request
 	planner      roster.Instance
 	grantedAt    clock.Millis
 }
@@ -132,7 +132,7 @@
 func New(o Options) *Broker {
 	return &Broker{
 		Options: o, ticker: ticker.New(busyTickInterval, idleTickInterval), planner: placement.New(o.Zone, o.Name, o.Paces), view: directory.NewView(nil),
-		places: map[string]*Place{}, pending: map[string]chan placement.Verdict{},
+		places: map[string]*Place{}, pending: map[string]chan placement.Decision{},
 		backoffs: map[string]backoff{}, usedAt: map[string]clock.Millis{}, responded: map[string]bool{},
 		loadRequestedAt: map[string]clock.Millis{}, askerAddresses: map[string]netip.AddrPort{}, startedAt: o.Now(),
 	}
@@ -140,15 +140,15 @@
 
 // Register adds the handlers of messages from other instances.
 func (b *Broker) Register(r *message.Router) {
-	peer.Answer(r, b.Transport, topicAsk, func(_ context.Context, s peer.Sender, a placement.Ask) placement.Verdict {
+	peer.HandleCall(r, b.Transport, topicAsk, func(_ context.Context, s peer.Sender, a placement.Request) placement.Decision {
 		b.rememberAsker(a.Owner, s.Address)
 		return b.decide(a)
 	})
-	peer.Handle(r, b.Transport, topicDecision, func(_ peer.Sender, v placement.Verdict) { b.deliver(v) })
+	peer.Handle(r, b.Transport, topicDecision, func(_ peer.Sender, v placement.Decision) { b.deliver(v) })
 	peer.Handle(r, b.Transport, topicProgress, func(_ peer.Sender, m placement.Progress) { b.handleEvent(m) })
 	peer.Handle(r, b.Transport, topicRelease, func(_ peer.Sender, m placement.Release) { b.handleRelease(m) })
-	peer.Handle(r, b.Transport, topicClosed, func(_ peer.Sender, m placement.Closed) { b.handleEvent(m) })
-	peer.Handle(r, b.Transport, topicAnnounce, func(_ peer.Sender, m placement.Announce) { b.handleAnnounce(m) })
+	peer.Handle(r, b.Transport, topicClosed, func(_ peer.Sender, m placement.StageChange) { b.handleEvent(m) })
+	peer.Handle(r, b.Transport, topicAnnounce, func(_ peer.Sender, m placement.Announcement) { b.handleAnnounce(m) })
 }
 
 // Run announces places and drives the local planner until ctx ends.
@@ -180,7 +180,7 @@
 }
 
 // findInZone asks the planner of a zone, and the next one if it does not respond.
-func (b *Broker) findInZone(ctx context.Context, zone string, a placement.Ask) (*Place, *placement.Refusal) {
+func (b *Broker) findInZone(ctx context.Context, zone string, a placement.Request) (*Place, *placement.Refusal) {
 	silent := 0
 	for _, i := range b.Roster.Ranked(zone, rolePlanner) {
 		if b.isBackingOff(i) || silent == maxSilentPlanners && i.Name != b.Name {
@@ -195,7 +195,7 @@
 			return b.placeOrRefusal(i, zone, a, v)
 		}
 		if ctx.Err() != nil {
-			return nil, &placement.Refusal{Reason: placement.ReasonMoved, After: minBackoff}
+			return nil, &placement.Refusal{Reason: placement.ReasonMoved, RetryAfter: minBackoff}
 		}
 		silent++
 		b.markSilent(i)
@@ -205,10 +205,10 @@
 		b.handleEvent(b.newAnnouncement(zone))
 		return b.findLocal(ctx, a)
 	}
-	return nil, &placement.Refusal{Reason: placement.ReasonNoEndpoint, After: minBackoff}
+	return nil, &placement.Refusal{Reason: placement.ReasonNoEndpoint, RetryAfter: minBackoff}
 }
 
-func (b *Broker) findLocal(ctx context.Context, a placement.Ask) (*Place, *placement.Refusal) {
+func (b *Broker) findLocal(ctx context.Context, a placement.Request) (*Place, *placement.Refusal) {
 	waiting := b.addWaiter(a.ID)
 	defer b.removeWaiter(a.ID)
 	v := b.decide(a)
@@ -219,14 +219,14 @@
 }
 
 // askPlanner asks one planner. It returns false if the planner did not answer in time.
-func (b *Broker) askPlanner(ctx context.Context, i roster.Instance, a placement.Ask) (placement.Verdict, bool) {
+func (b *Broker) askPlanner(ctx context.Context, i roster.Instance, a placement.Request) (placement.Decision, bool) {
 	waiting := b.addWaiter(a.ID)
 	defer b.removeWaiter(a.ID)
 	first, cancel := context.WithTimeout(ctx, b.timeoutFor(i))
 	defer cancel()
-	v, err := peer.Ask[placement.Ask, placement.Verdict](first, b.Transport, i.Address, topicAsk, a)
+	v, err := peer.Call[placement.Request, placement.Decision](first, b.Transport, i.Address, topicAsk, a)
 	if err != nil {
-		return placement.Verdict{}, false
+		return placement.Decision{}, false
 	}
 	if v.Queued {
 		v = b.awaitDecision(ctx, waiting, a)
@@ -236,7 +236,7 @@
 
 // Release frees a place. full names an engine that rejected the request, failed one that
 // failed; both may be empty. seen is the timing of the response, nil if it did not begin.
-func (b *Broker) Release(p *Place, full, failed string, seen *placement.Seen) {
+func (b *Broker) Release(p *Place, full, failed string, seen *placement.Observation) {
 	if p.prefillPlace != nil {
 		b.Release(p.prefillPlace, full, failed, nil)
 	}
@@ -246,27 +246,27 @@
 	if seen != nil && p.planner.Name != b.Name {
 		placement.Learn(b.Paces, b.Now(), p.ask, p.Grant, 0, *seen)
 	}
-	b.sendRelease(p.planner, placement.Release{ID: p.ID, Owner: b.Name, Full: full, Failed: failed, Seen: seen})
+	b.sendRelease(p.planner, placement.Release{ID: p.ID, Owner: b.Name, FullEngine: full, FailedEngine: failed, Observed: seen})
 }
 
-// Began reports the load that a decode engine stated when it began to answer.
-func (b *Broker) Began(p *Place, running int) {
+// ReportDecodeStart reports the load that a decode engine stated when it began to answer.
+func (b *Broker) ReportDecodeStart(p *Place, running int) {
 	b.sendProgress(p, placement.Progress{ID: p.ID, Running: running})
 }
 
-// Read reports that the prefill engine has finished the prefill, the load it stated, and
+// ReportPrefillDone reports that the prefill engine has finished the prefill, the load it stated, and
 // how long the prefill took.
-func (b *Broker) Read(p *Place, running int, took time.Duration) {
+func (b *Broker) ReportPrefillDone(p *Place, running int, took time.Duration) {
 	if p.prefillPlace != nil {
 		p = p.prefillPlace
 	}
-	if p.Wait == 0 && p.planner.Name != b.Name {
+	if p.PrefillWait == 0 && p.planner.Name != b.Name {
 		b.Paces.Learn(b.Now(), pace.Observation{
-			Service: p.ask.Service, Engine: p.Prefill, Act: pace.Read,
+			Service: p.ask.Service, Engine: p.Prefill, Quantity: pace.PrefillTime,
 			Size: float64(p.ask.Prompt), Outcome: clock.InMillis(took),
 		})
 	}
-	b.sendProgress(p, placement.Progress{ID: p.ID, Running: running, Read: true, Took: took})
+	b.sendProgress(p, placement.Progress{ID: p.ID, Running: running, Prefilled: true, Took: took})
 }
 
 func (b *Broker) sendProgress(p *Place, m placement.Progress) {
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -41,10 +41,10 @@
 	now := func() clock.Millis { return clock.Millis(n.now.Load()) }
 	b := New(Options{
 		Name: name, Zone: zone, Transport: transport, Roster: roster.New(now), Directory: engines(c, zone), Log: log,
-		Scope: tally.NoopScope, Now: now, Paces: pace.New(pace.Cautious()), Saw: func(placement.Ask) {}, Spent: func() ([]string, time.Duration) { return nil, 0 },
-		Load: func(_ context.Context, e directory.Endpoint) (placement.Loaded, error) {
+		Scope: tally.NoopScope, Now: now, Paces: pace.New(pace.ConservativePrior()), OnAsk: func(placement.Request) {}, Exhausted: func() ([]string, time.Duration) { return nil, 0 },
+		FetchLoad: func(_ context.Context, e directory.Endpoint) (placement.LoadReport, error) {
 			loadRequests <- e.ID
-			return placement.Loaded{Engine: e.ID, Running: 1, Used: 60_000}, nil
+			return placement.LoadReport{Engine: e.ID, Running: 1, UsedTokens: 60_000}, nil
 		},
 	})
 	peers.Route(t, b.Register)
@@ -73,14 +73,14 @@
 func TestDecisionReachesInstanceOutsideRoster(t *testing.T) {
 	c := qt.New(t)
 	planner, entry := startNode(t, "n1", "a"), startNode(t, "n2", "a")
-	entry.Roster.See(planner.self) // the planner's roster stays empty
-	ask := placement.Ask{ID: "first", Service: "llm", Prompt: 5000, Output: 100, Budget: time.Minute}
+	entry.Roster.Update(planner.self) // the planner's roster stays empty
+	ask := placement.Request{ID: "first", Service: "llm", Prompt: 5000, ExpectedTokens: 100, Budget: time.Minute}
 	first, refusal := planner.findLocal(context.Background(), ask)
 	c.Assert(refusal, qt.IsNil)
 	found := make(chan *Place, 1)
 	go func() {
 		second := ask
-		second.ID, second.Owner, second.Patient = "second", "n2", true
+		second.ID, second.Owner, second.MayQueue = "second", "n2", true
 		place, _ := entry.findInZone(context.Background(), "a", second)
 		found <- place
 	}()
@@ -103,11 +103,11 @@
 func TestFullEngineIsAskedForItsLoad(t *testing.T) {
 	c := qt.New(t)
 	planner := startNode(t, "n1", "a")
-	ask := placement.Ask{ID: "first", Service: "llm", Prompt: 2000, Output: 100, Budget: time.Minute}
+	ask := placement.Request{ID: "first", Service: "llm", Prompt: 2000, ExpectedTokens: 100, Budget: time.Minute}
 	first, _ := planner.findLocal(context.Background(), ask)
 	c.Assert(first.Decode, qt.Equals, "da")
 	planner.Release(first, "da", "", nil)
-	planner.handleRelease(placement.Release{ID: "other", Full: "da"}) // too soon: not asked again
+	planner.handleRelease(placement.Release{ID: "other", FullEngine: "da"}) // too soon: not asked again
 	c.Assert(<-loadRequests, qt.Equals, "da")
 	planner.now.Add(2 * fullBackoff.Milliseconds())
 	for i := 0; ; i++ { // until the load has arrived
@@ -130,16 +130,16 @@
 func TestPlannersShareEngineSpeeds(t *testing.T) {
 	c := qt.New(t)
 	near, far := startNode(t, "n1", "a"), startNode(t, "n2", "b")
-	near.Roster.See(near.self)
-	near.Roster.See(far.self)
+	near.Roster.Update(near.self)
+	near.Roster.Update(far.self)
 	for i := range 8 {
-		near.Paces.Learn(clock.Millis(i), pace.Observation{Service: "llm", Engine: "da", Act: pace.Step, Size: 4, Outcome: 20})
+		near.Paces.Learn(clock.Millis(i), pace.Observation{Service: "llm", Engine: "da", Quantity: pace.TokenTime, Size: 4, Outcome: 20})
 	}
 	for range figuresPeriod {
 		near.announce()
 	}
-	for far.Paces.Step("llm", "db", 4) != 20*time.Millisecond {
+	for far.Paces.TokenTime("llm", "db", 4) != 20*time.Millisecond {
 		time.Sleep(time.Millisecond)
 	}
-	c.Assert(far.Paces.Seen("llm", pace.Step), qt.Equals, 0)
+	c.Assert(far.Paces.ObservationCount("llm", pace.TokenTime), qt.Equals, 0)
 }
--- a/internal/broker/decision.go
+++ b/internal/broker/decision.go
@@ -10,8 +10,8 @@
 
 // awaitDecision waits for the decision on a queued request. It returns an empty one if none
 // comes in time.
-func (b *Broker) awaitDecision(ctx context.Context, waiting chan placement.Verdict, a placement.Ask) placement.Verdict {
-	timer := time.NewTimer(max(a.Budget, a.Hold) + decisionGrace)
+func (b *Broker) awaitDecision(ctx context.Context, waiting chan placement.Decision, a placement.Request) placement.Decision {
+	timer := time.NewTimer(max(a.Budget, a.QueueTime) + decisionGrace)
 	defer timer.Stop()
 	select {
 	case v := <-waiting:
@@ -19,11 +19,11 @@
 	case <-ctx.Done():
 	case <-timer.C:
 	}
-	return placement.Verdict{}
+	return placement.Decision{}
 }
 
 // placeOrRefusal converts a planner's decision into a place or a refusal.
-func (b *Broker) placeOrRefusal(i roster.Instance, zone string, a placement.Ask, v placement.Verdict) (*Place, *placement.Refusal) {
+func (b *Broker) placeOrRefusal(i roster.Instance, zone string, a placement.Request, v placement.Decision) (*Place, *placement.Refusal) {
 	switch {
 	case v.Grant != nil:
 		p := &Place{Grant: *v.Grant, Zone: zone, ask: a, planner: i, grantedAt: b.Now()}
@@ -36,12 +36,12 @@
 		return nil, v.Refusal
 	default: // no decision in time
 		b.sendRelease(i, placement.Release{ID: a.ID, Owner: b.Name})
-		return nil, &placement.Refusal{ID: a.ID, Reason: placement.ReasonMoved, After: minBackoff}
+		return nil, &placement.Refusal{ID: a.ID, Reason: placement.ReasonMoved, RetryAfter: minBackoff}
 	}
 }
 
-func (b *Broker) addWaiter(id string) chan placement.Verdict {
-	waiting := make(chan placement.Verdict, 1)
+func (b *Broker) addWaiter(id string) chan placement.Decision {
+	waiting := make(chan placement.Decision, 1)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.pending[id] = waiting
@@ -54,7 +54,7 @@
 	delete(b.pending, id)
 }
 
-func (b *Broker) deliver(v placement.Verdict) {
+func (b *Broker) deliver(v placement.Decision) {
 	id := ""
 	switch {
 	case v.Grant != nil:
--- a/internal/broker/find.go
+++ b/internal/broker/find.go
@@ -13,11 +13,11 @@
 // one zone and decode in another; if no zone has a prefill engine, a decode engine that
 // computes the prefill too; and finally, waiting in the queue of the zone that promises to
 // have room soonest.
-func (b *Broker) Find(ctx context.Context, a placement.Ask, area residency.Area) (*Place, *placement.Refusal) {
+func (b *Broker) Find(ctx context.Context, a placement.Request, area residency.Area) (*Place, *placement.Refusal) {
 	a.Owner = b.Name
 	zones := slices.DeleteFunc(b.zones(), func(zone string) bool { return !area.Allows(zone) })
 	if len(zones) == 0 {
-		return nil, &placement.Refusal{Reason: placement.ReasonNoZone, After: minBackoff}
+		return nil, &placement.Refusal{Reason: placement.ReasonNoZone, RetryAfter: minBackoff}
 	}
 	s := b.survey(ctx, zones, a)
 	if s.place != nil {
@@ -36,7 +36,7 @@
 	if !worthWaiting(s.best) {
 		return nil, s.best
 	}
-	a.Patient = true
+	a.MayQueue = true
 	return b.findInZone(ctx, s.zone, a)
 }
 
@@ -48,7 +48,7 @@
 	noPrefill []string           // zones that could decode but have no prefill engine available
 }
 
-func (b *Broker) survey(ctx context.Context, zones []string, a placement.Ask) surveyResult {
+func (b *Broker) survey(ctx context.Context, zones []string, a placement.Request) surveyResult {
 	var s surveyResult
 	for _, zone := range zones {
 		place, refusal := b.findInZone(ctx, zone, a)
@@ -66,11 +66,11 @@
 }
 
 // findSplit places the prefill in one zone and the decode in another.
-func (b *Broker) findSplit(ctx context.Context, zones, decodeZones []string, a placement.Ask) *Place {
+func (b *Broker) findSplit(ctx context.Context, zones, decodeZones []string, a placement.Request) *Place {
 	for _, zone := range decodeZones {
 		decode, prefill := a, a
 		decode.Part, decode.ID = placement.DecodeOnly, a.ID+"/decode"
-		prefill.Part, prefill.ID = placement.ReadOnly, a.ID+"/read"
+		prefill.Part, prefill.ID = placement.PrefillOnly, a.ID+"/read"
 		place, _ := b.findInZone(ctx, zone, decode)
 		if place == nil {
 			continue
@@ -80,8 +80,8 @@
 			b.Release(place, "", "", nil)
 			return nil
 		}
-		place.prefillPlace, place.Prefill, place.Wait, place.Read = s.place, s.place.Prefill, s.place.Wait, s.place.Read
-		place.New = append(place.New, s.place.New...)
+		place.prefillPlace, place.Prefill, place.PrefillWait, place.PrefillTime = s.place, s.place.Prefill, s.place.PrefillWait, s.place.PrefillTime
+		place.NewEngines = append(place.NewEngines, s.place.NewEngines...)
 		return place
 	}
 	return nil
@@ -97,7 +97,7 @@
 	if refusalRank(a) != refusalRank(b) {
 		return refusalRank(a) > refusalRank(b)
 	}
-	return a.After < b.After
+	return a.RetryAfter < b.RetryAfter
 }
 
 // refusalRank orders refusals by what can still be done, from most to least: wait, have a
--- a/internal/broker/loads.go
+++ b/internal/broker/loads.go
@@ -53,7 +53,7 @@
 			defer func() { <-slots }()
 			ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 			defer cancel()
-			loaded, err := b.Load(ctx, e)
+			loaded, err := b.FetchLoad(ctx, e)
 			if err != nil {
 				b.Scope.Counter("loads_unanswered").Inc(1) // its load is then known from its responses
 				return
@@ -71,11 +71,11 @@
 // announcements of, so it is asked for its load.
 func (b *Broker) handleRelease(r placement.Release) {
 	b.handleEvent(r)
-	if r.Full == "" {
+	if r.FullEngine == "" {
 		return
 	}
 	for e := range b.Directory.View().Engines(b.Zone) {
-		if e.ID == r.Full && e.Stage != directory.Prefill && b.allowLoadRequest(e.ID) {
+		if e.ID == r.FullEngine && e.Stage != directory.Prefill && b.allowLoadRequest(e.ID) {
 			go b.fetchLoads(context.Background(), []directory.Endpoint{*e}) // bounded by loadTimeout
 		}
 	}
@@ -99,5 +99,5 @@
 	return true
 }
 
-// Load requests the current load of one engine.
-type Load func(ctx context.Context, e directory.Endpoint) (placement.Loaded, error)
+// FetchLoadFunc requests the current load of one engine.
+type FetchLoadFunc func(ctx context.Context, e directory.Endpoint) (placement.LoadReport, error)
--- a/internal/broker/planner.go
+++ b/internal/broker/planner.go
@@ -24,35 +24,35 @@
 	return b.planner.Queued() > 0
 }
 
-// Close reports to the planners of a zone that an engine accepts nothing until its stage
+// ReportClosed reports to the planners of a zone that an engine accepts nothing until its stage
 // has changed.
-func (b *Broker) Close(zone, engine string) {
-	b.notifyPlanners(zone, topicClosed, placement.Closed{Engine: engine})
+func (b *Broker) ReportClosed(zone, engine string) {
+	b.notifyPlanners(zone, topicClosed, placement.StageChange{Engine: engine})
 }
 
-// Plans reports whether this instance is the current planner of its zone.
-func (b *Broker) Plans() bool {
+// IsPlanner reports whether this instance is the current planner of its zone.
+func (b *Broker) IsPlanner() bool {
 	rank, known := b.Roster.Rank(b.Zone, rolePlanner, b.Name)
 	return known && rank == 0
 }
 
 // decide asks the local planner and returns its first decision on this request. Decisions
 // on other requests are sent to their instances.
-func (b *Broker) decide(a placement.Ask) placement.Verdict {
-	b.Saw(a)
-	spent, next := b.Spent()
+func (b *Broker) decide(a placement.Request) placement.Decision {
+	b.OnAsk(a)
+	spent, next := b.Exhausted()
 	a.Exclude = append(a.Exclude, spent...)
-	first := placement.Verdict{Queued: true} // a request repeated while it is queued
+	first := placement.Decision{Queued: true} // a request repeated while it is queued
 	found := false
 	for _, answer := range b.applyEvent(a) {
 		if answer.ID == a.ID && !found {
-			first, found = answer.Verdict, true
+			first, found = answer.Decision, true
 			continue
 		}
 		b.sendDecision(answer)
 	}
 	if r := first.Refusal; r != nil && r.Reason == placement.ReasonNoEndpoint && len(spent) > 0 {
-		r.Reason, r.After = placement.ReasonLimited, max(r.After, next)
+		r.Reason, r.RetryAfter = placement.ReasonLimited, max(r.RetryAfter, next)
 	}
 	return first
 }
@@ -73,7 +73,7 @@
 	var answers []placement.Answer
 	if v := b.Directory.View(); v != b.view {
 		b.view = v
-		answers = b.planner.Apply(now, placement.Known{View: v})
+		answers = b.planner.Apply(now, placement.ViewUpdate{View: v})
 	}
 	answers = append(answers, b.planner.Apply(now, e)...)
 	b.Scope.Gauge("placement_queue").Update(float64(b.planner.Queued()))
@@ -94,13 +94,13 @@
 
 func (b *Broker) sendDecision(a placement.Answer) {
 	if a.Owner == b.Name {
-		b.deliver(a.Verdict)
+		b.deliver(a.Decision)
 		return
 	}
 	b.mu.Lock()
 	address, known := b.askerAddresses[a.Owner]
 	b.mu.Unlock()
 	if known {
-		b.send(address, topicDecision, a.Verdict)
+		b.send(address, topicDecision, a.Decision)
 	}
 }
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -47,23 +47,23 @@
 	return &Budget{rule: rule, shares: max(shares, 1), startedAt: startedAt}
 }
 
-// Share sets how many instances divide the slack.
-func (b *Budget) Share(shares int) {
+// SetShares sets how many instances divide the slack.
+func (b *Budget) SetShares(shares int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.shares = max(shares, 1)
 }
 
-// Rule replaces the allowance but keeps the window.
-func (b *Budget) Rule(rule Rule) {
+// SetRule replaces the allowance but keeps the window.
+func (b *Budget) SetRule(rule Rule) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	rule.Window = b.rule.Window
 	b.rule = rule
 }
 
-// Request counts a request, which adds to the allowance by the rule's ratio.
-func (b *Budget) Request(now clock.Millis) {
+// CountRequest counts a request, which adds to the allowance by the rule's ratio.
+func (b *Budget) CountRequest(now clock.Millis) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.advance(now)
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -27,7 +27,7 @@
 		now := clock.Millis(5_000 + 1_000*int64(run))
 		b := budget.New(rule, shares, startedAt)
 		for range requests {
-			b.Request(now)
+			b.CountRequest(now)
 		}
 		for b.Take(now, 1) {
 			spent++
@@ -55,7 +55,7 @@
 		for range rapid.IntRange(1, 300).Draw(rt, "steps") {
 			now += clock.Millis(rapid.IntRange(0, 400).Draw(rt, "time"))
 			if rapid.Bool().Draw(rt, "request") {
-				b.Request(now)
+				b.CountRequest(now)
 				requests = append(requests, now)
 			} else if b.Take(now, 1) {
 				extras = append(extras, now)
@@ -94,7 +94,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			b := budget.New(rule, test.shares, startedLongAgo)
 			for range test.requests {
-				b.Request(5_000)
+				b.CountRequest(5_000)
 			}
 			got := 0
 			for b.Take(5_000, 1) {
--- a/internal/caller/completions.go
+++ b/internal/caller/completions.go
@@ -48,11 +48,11 @@
 	chatFormat = objectFormat{object: "chat.completion", chunk: "chat.completion.chunk", chat: true}
 )
 
-func (f *Front) completions(w http.ResponseWriter, r *http.Request) { f.complete(w, r, textFormat) }
+func (f *API) completions(w http.ResponseWriter, r *http.Request) { f.complete(w, r, textFormat) }
 
-func (f *Front) chat(w http.ResponseWriter, r *http.Request) { f.complete(w, r, chatFormat) }
+func (f *API) chat(w http.ResponseWriter, r *http.Request) { f.complete(w, r, chatFormat) }
 
-func (f *Front) complete(w http.ResponseWriter, r *http.Request, format objectFormat) {
+func (f *API) complete(w http.ResponseWriter, r *http.Request, format objectFormat) {
 	req, body, p := f.readRequest(w, r)
 	if p != nil {
 		p.write(w)
@@ -72,7 +72,7 @@
 }
 
 // parseCompletion validates a completion request and fills in the model fields of req.
-func (f *Front) parseCompletion(req *entry.Request, c *completionRequest, kind string, format objectFormat) *problem {
+func (f *API) parseCompletion(req *entry.Request, c *completionRequest, kind string, format objectFormat) *problem {
 	if kind == "" {
 		kind = c.Kind
 	}
@@ -117,7 +117,7 @@
 }
 
 // isServed reports whether any kind is served by the model or plain service of a name.
-func (f *Front) isServed(name string) bool {
+func (f *API) isServed(name string) bool {
 	for _, k := range f.catalog().Kinds {
 		if k.Serves == name {
 			return true
@@ -143,8 +143,8 @@
 
 // respond runs the request and writes the answer. The answer of a request that may not
 // be repeated is kept for callers that send the same key again.
-func (f *Front) respond(ctx context.Context, req entry.Request, out *completionWriter) {
-	end := f.entry.Hold(req.ID, req.Kind)
+func (f *API) respond(ctx context.Context, req entry.Request, out *completionWriter) {
+	end := f.entry.KeepAnswer(req.ID, req.Kind)
 	var text strings.Builder
 	o := f.entry.Complete(ctx, req, func(t endpoint.Token) error {
 		if t.Done {
@@ -153,9 +153,9 @@
 		text.WriteString(t.Text)
 		return out.writeToken(t.Text)
 	})
-	end(endpoint.Answer{Status: http.StatusOK, Body: []byte(text.String())}, o.Result == entry.Answered)
-	if o.Taken != nil {
-		if kept, ok := f.entry.Held(ctx, *o.Taken); ok {
+	end(endpoint.Response{Status: http.StatusOK, Body: []byte(text.String())}, o.Result == entry.Answered)
+	if o.EarlierClaim != nil {
+		if kept, ok := f.entry.KeptAnswer(ctx, *o.EarlierClaim); ok {
 			_ = out.writeToken(string(kept.Body))
 			o = entry.Outcome{Result: entry.Answered}
 		}
--- a/internal/caller/front.go
+++ b/internal/caller/front.go
@@ -30,8 +30,8 @@
 	headerNotReady = "Trailshed-Not-Ready"
 )
 
-// Front is the HTTP API for callers.
-type Front struct {
+// API is the HTTP API for callers.
+type API struct {
 	settings settings.Callers
 	entry    *entry.Entry
 	catalog  func() *catalog.Catalog
@@ -44,12 +44,12 @@
 func New(
 	s settings.Callers, e *entry.Entry, c func() *catalog.Catalog,
 	now func() clock.Millis, ready func() bool, scope tally.Scope,
-) *Front {
-	return &Front{settings: s, entry: e, catalog: c, now: now, ready: ready, scope: scope}
+) *API {
+	return &API{settings: s, entry: e, catalog: c, now: now, ready: ready, scope: scope}
 }
 
 // Handler returns the handler of all routes.
-func (f *Front) Handler() http.Handler {
+func (f *API) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Post("/v1/completions", f.completions)
 	r.Post("/v1/chat/completions", f.chat)
@@ -65,7 +65,7 @@
 }
 
 // readRequest authenticates the caller and reads the body.
-func (f *Front) readRequest(w http.ResponseWriter, r *http.Request) (entry.Request, []byte, *problem) {
+func (f *API) readRequest(w http.ResponseWriter, r *http.Request) (entry.Request, []byte, *problem) {
 	req := entry.Request{ID: uuid.NewString(), Arrived: f.now(), Key: r.Header.Get(headerKey)}
 	w.Header().Set(headerRequest, req.ID)
 	if !f.ready() {
@@ -94,7 +94,7 @@
 
 // checkKind checks that the kind exists, that the model or service serves it and that
 // the idempotency key is present if the kind requires one.
-func (f *Front) checkKind(req *entry.Request, name, serves, field string) *problem {
+func (f *API) checkKind(req *entry.Request, name, serves, field string) *problem {
 	kind, ok := f.catalog().Kinds[name]
 	if !ok {
 		return newProblem(http.StatusBadRequest, "unknown_kind", headerKind, "The kind "+quoted(name)+" does not exist.")
--- a/internal/caller/problem.go
+++ b/internal/caller/problem.go
@@ -44,7 +44,7 @@
 		RetryAfter: o.RetryAfter.Milliseconds(), status: statusCodes[o.Result],
 	}
 	switch {
-	case o.Taken != nil:
+	case o.EarlierClaim != nil:
 		p.status = http.StatusConflict
 		p.Message = "An earlier request with this key may have run; its answer is not held any more."
 	case o.Result == entry.RefusedNotRun && o.RetryAfter == 0:
--- a/internal/caller/service.go
+++ b/internal/caller/service.go
@@ -17,7 +17,7 @@
 }
 
 // service forwards a request to a plain service and writes its answer.
-func (f *Front) service(w http.ResponseWriter, r *http.Request) {
+func (f *API) service(w http.ResponseWriter, r *http.Request) {
 	req, body, p := f.readRequest(w, r)
 	if p != nil {
 		p.write(w)
@@ -37,11 +37,11 @@
 	if r.URL.RawQuery != "" {
 		req.Path += "?" + r.URL.RawQuery
 	}
-	end := f.entry.Hold(req.ID, req.Kind)
+	end := f.entry.KeepAnswer(req.ID, req.Kind)
 	answer, o := f.entry.Call(r.Context(), req)
 	end(answer, o.Result == entry.Answered)
-	if o.Taken != nil {
-		if kept, ok := f.entry.Held(r.Context(), *o.Taken); ok {
+	if o.EarlierClaim != nil {
+		if kept, ok := f.entry.KeptAnswer(r.Context(), *o.EarlierClaim); ok {
 			answer, o = kept, entry.Outcome{Result: entry.Answered}
 		}
 	}
@@ -63,7 +63,7 @@
 	return h
 }
 
-func writeAnswer(w http.ResponseWriter, a endpoint.Answer) {
+func writeAnswer(w http.ResponseWriter, a endpoint.Response) {
 	for name, values := range endToEndHeaders(a.Header) {
 		w.Header()[name] = values
 	}
--- a/internal/caller/writer.go
+++ b/internal/caller/writer.go
@@ -12,7 +12,7 @@
 // server-sent events. It writes nothing before the first token, so that an earlier
 // failure can still set the status code.
 type completionWriter struct {
-	front   *Front
+	front   *API
 	w       http.ResponseWriter
 	format  objectFormat
 	id      string
--- a/internal/catalog/aggregate.go
+++ b/internal/catalog/aggregate.go
@@ -51,7 +51,7 @@
 	case NounPool:
 		return &Pool{State: PoolRunning}
 	case NounEndpoint:
-		return &Endpoint{State: EndpointServing, Slots: 20, Link: 100_000, FenceChecked: true}
+		return &Endpoint{State: EndpointServing, Slots: 20, LinkRate: 100_000, FenceChecked: true}
 	default:
 		return nil
 	}
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -39,8 +39,8 @@
 type Change struct {
 	Revision int64        `cbor:"1,keyasint" json:"revision"`
 	ID       string       `cbor:"2,keyasint" json:"id"` // chosen by the sender
-	Who      string       `cbor:"3,keyasint" json:"who"`
-	When     clock.Millis `cbor:"4,keyasint" json:"when"`
+	Actor    string       `cbor:"3,keyasint" json:"who"`
+	Time     clock.Millis `cbor:"4,keyasint" json:"when"`
 	Verb     string       `cbor:"5,keyasint" json:"verb"`
 	Noun     string       `cbor:"6,keyasint" json:"noun"`
 	Name     string       `cbor:"7,keyasint" json:"name"`
@@ -118,9 +118,9 @@
 	return a.check(c)
 }
 
-// Before returns the current values of the fields that change sets, or of all
+// OldFields returns the current values of the fields that change sets, or of all
 // fields if it deletes the aggregate.
-func (c *Catalog) Before(change Change) []Field {
+func (c *Catalog) OldFields(change Change) []Field {
 	old := c.find(change.Noun, change.Name)
 	if old == nil {
 		return nil
--- a/internal/catalog/endpoint.go
+++ b/internal/catalog/endpoint.go
@@ -16,7 +16,7 @@
 	Pool         string
 	Address      netip.AddrPort
 	Slots        int // concurrent requests that fit in its memory
-	Link         int // KV cache transfer rate in tokens per second
+	LinkRate     int // KV cache transfer rate in tokens per second
 	State        string
 	FenceChecked bool // whether it rejects orders with an outdated fence
 }
@@ -30,7 +30,7 @@
 	case "slots":
 		return parseInto(&e.Slots, strconv.Atoi, value)
 	case "link":
-		return parseInto(&e.Link, strconv.Atoi, value)
+		return parseInto(&e.LinkRate, strconv.Atoi, value)
 	case "state":
 		return parseInto(&e.State, parseEnum(EndpointServing, EndpointDraining), value)
 	case "fence_checked":
@@ -46,7 +46,7 @@
 		{"pool", e.Pool},
 		{"address", e.Address.String()},
 		{"slots", strconv.Itoa(e.Slots)},
-		{"link", strconv.Itoa(e.Link)},
+		{"link", strconv.Itoa(e.LinkRate)},
 		{"state", e.State},
 		{"fence_checked", strconv.FormatBool(e.FenceChecked)},
 	}
@@ -56,7 +56,7 @@
 	if _, ok := all.Pools[e.Pool]; !ok {
 		return Error.New("pool %q does not exist", e.Pool)
 	}
-	if !e.Address.IsValid() || e.Slots <= 0 || e.Link <= 0 {
+	if !e.Address.IsValid() || e.Slots <= 0 || e.LinkRate <= 0 {
 		return Error.New("address must be given, slots and link must be positive")
 	}
 	return nil
--- a/internal/catalog/layout.go
+++ b/internal/catalog/layout.go
@@ -35,7 +35,7 @@
 	Role     string
 	Address  netip.AddrPort
 	Slots    int
-	Link     int
+	LinkRate int
 	Draining bool // takes no new work
 }
 
@@ -89,7 +89,7 @@
 		p := c.Pools[e.Pool]
 		cell := Cell{Zone: zone, Serves: p.Serves, Part: partOf(name, (sizes[p.Serves]+targetCellSize-1)/targetCellSize)}
 		l.members[cell] = append(l.members[cell], Member{
-			Name: name, Role: p.Role, Address: e.Address, Slots: e.Slots, Link: e.Link,
+			Name: name, Role: p.Role, Address: e.Address, Slots: e.Slots, LinkRate: e.LinkRate,
 			Draining: e.State != EndpointServing || p.State != PoolRunning,
 		})
 	}
--- a/internal/catalog/workspace.go
+++ b/internal/catalog/workspace.go
@@ -6,10 +6,10 @@
 
 // Workspace is a tenant.
 type Workspace struct {
-	Class   string
-	Weight  float64 // in fair sharing within the class
-	KeyHash string  // SHA-256 of the bearer key, in hex
-	Running int     // maximum concurrent requests on one entry; 0 means no limit
+	Class      string
+	Weight     float64 // in fair sharing within the class
+	KeyHash    string  // SHA-256 of the bearer key, in hex
+	MaxRunning int     // maximum concurrent requests on one entry; 0 means no limit
 }
 
 func (w *Workspace) set(field, value string) error {
@@ -21,7 +21,7 @@
 	case "key_hash":
 		w.KeyHash = value
 	case "running":
-		return parseInto(&w.Running, strconv.Atoi, value)
+		return parseInto(&w.MaxRunning, strconv.Atoi, value)
 	default:
 		return unknownField(field)
 	}
@@ -33,7 +33,7 @@
 		{"class", w.Class},
 		{"weight", formatFloat(w.Weight)},
 		{"key_hash", w.KeyHash},
-		{"running", strconv.Itoa(w.Running)},
+		{"running", strconv.Itoa(w.MaxRunning)},
 	}
 }
 
@@ -41,7 +41,7 @@
 	if _, ok := all.Classes[w.Class]; !ok {
 		return Error.New("class %q does not exist", w.Class)
 	}
-	if w.Weight <= 0 || w.Running < 0 {
+	if w.Weight <= 0 || w.MaxRunning < 0 {
 		return Error.New("weight must be positive, running must not be negative")
 	}
 	return nil
--- a/internal/cell/admit.go
+++ b/internal/cell/admit.go
@@ -23,7 +23,7 @@
 
 // admit refuses a new attempt at once if it cannot be served in time, and queues
 // it otherwise. The baselines grant without a queue.
-func (c *Cell) admit(now clock.Millis, a Ask) {
+func (c *Cell) admit(now clock.Millis, a AttemptRequest) {
 	if c.reservations[a.Attempt] != nil || c.queue.find(a.Attempt) != nil || c.recentlyEnded[a.Attempt] > 0 {
 		return // repeated because the answer is delayed; it has been or will be sent
 	}
@@ -57,7 +57,7 @@
 	c.recordDecision(now, a.Attempt, "waiting", best)
 }
 
-func (c *Cell) newWaiting(now clock.Millis, a Ask) *waiting {
+func (c *Cell) newWaiting(now clock.Millis, a AttemptRequest) *waiting {
 	w := &waiting{ask: a, rank: math.MaxInt, weight: 1, cost: 1, since: now, deadline: now.Add(a.Budget)}
 	if class, ok := c.catalog.Classes[a.Class]; ok {
 		w.rank, w.share, w.tbt = class.Rank, class.Share, class.TBT
@@ -166,7 +166,7 @@
 	p.decode.health.recordGrant()
 	r.grant = g
 	c.add(r)
-	c.options.Counted("granted")
+	c.options.OnDecision("granted")
 	c.recordDecision(now, a.Attempt, "granted "+p.describe(), p.terms)
 	c.emit(SendGrant{To: a.Owner, Grant: g})
 }
@@ -179,7 +179,7 @@
 }
 
 func (c *Cell) refuse(now clock.Millis, w *waiting, reason string, t Terms) {
-	c.options.Counted("refused_" + reason)
+	c.options.OnDecision("refused_" + reason)
 	c.recordDecision(now, w.ask.Attempt, "refused: "+reason, t)
 	c.emit(SendRefusal{To: w.ask.Owner, Refusal: Refusal{
 		Attempt: w.ask.Attempt, Reason: reason, RetryAfter: c.retryAfter(now, w, t), Terms: t,
--- a/internal/cell/announce.go
+++ b/internal/cell/announce.go
@@ -9,7 +9,7 @@
 
 // announce renews an entry's attempts, adopts those granted by a former
 // dispatcher and ends those that the entry no longer wants.
-func (c *Cell) announce(now clock.Millis, a Announce) {
+func (c *Cell) announce(now clock.Millis, a Announcement) {
 	c.owners[a.Owner.id()] = now
 	wanted := map[AttemptID]bool{}
 	for _, id := range a.Waiting {
@@ -34,7 +34,7 @@
 	c.renewWaiting(now, a)
 }
 
-func (c *Cell) renewWaiting(now clock.Millis, a Announce) {
+func (c *Cell) renewWaiting(now clock.Millis, a Announcement) {
 	var unknown []AttemptID
 	for _, id := range a.Waiting {
 		r, granted := c.reservations[id]
@@ -42,12 +42,12 @@
 		case !granted && c.queue.find(id) == nil:
 			unknown = append(unknown, id)
 		case granted && !r.ending && now.Sub(r.granted) > maxGrantDelay:
-			c.options.Counted("granted_again")
+			c.options.OnDecision("granted_again")
 			c.emit(SendGrant{To: a.Owner, Grant: r.grant})
 		}
 	}
 	if len(unknown) > 0 {
-		c.emit(SendUnknown{To: a.Owner, Unknown: Unknown{Cell: c.Name, Attempts: unknown}})
+		c.emit(SendUnknown{To: a.Owner, Unknown: UnknownAttempts{Cell: c.Name, Attempts: unknown}})
 	}
 	c.queue.items = slices.DeleteFunc(c.queue.items, func(w *waiting) bool {
 		return w.ask.Owner.id() == a.Owner.id() && now.Sub(w.since) > grantGrace &&
@@ -55,7 +55,7 @@
 	})
 }
 
-func (c *Cell) adoptRunning(now clock.Millis, owner Owner, run Running) {
+func (c *Cell) adoptRunning(now clock.Millis, owner Owner, run AnnouncedAttempt) {
 	r := &reservation{
 		attempt: run.Attempt, owner: owner, workspace: run.Workspace, kind: run.Kind,
 		tokens: run.Tokens, tbt: run.TBT, prefill: run.Prefill, decode: run.Decode,
@@ -72,7 +72,7 @@
 	for _, server := range c.order {
 		delete(server.orphans, run.Attempt)
 	}
-	c.options.Counted("adopted")
+	c.options.OnDecision("adopted")
 }
 
 // expireOwners ends the attempts of entries that stopped sending messages.
@@ -80,7 +80,7 @@
 	for _, r := range selectReservations(c.reservations, func(r *reservation) bool {
 		return !r.ending && now.Sub(c.lastReceived(r)) > c.options.OwnerExpiry
 	}) {
-		c.options.Counted("owner_expired")
+		c.options.OnDecision("owner_expired")
 		c.end(now, r, "entry "+r.owner.Node+" stopped sending messages")
 	}
 	c.queue.items = slices.DeleteFunc(c.queue.items, func(w *waiting) bool {
--- a/internal/cell/baseline_test.go
+++ b/internal/cell/baseline_test.go
@@ -28,7 +28,7 @@
 				{Name: "p1", Role: catalog.RolePrefill},
 				{Name: "p2", Role: catalog.RolePrefill},
 			} {
-				m.Slots, m.Link = 100, 1000
+				m.Slots, m.LinkRate = 100, 1000
 				members = append(members, m)
 			}
 			p.cell.Apply(p.now, cell.Configured{Catalog: catalog.New(), Members: members})
--- a/internal/cell/bench_test.go
+++ b/internal/cell/bench_test.go
@@ -17,7 +17,7 @@
 	cell    *cell.Cell
 	now     clock.Millis
 	owners  []cell.Owner
-	running [][]cell.Running // by owner
+	running [][]cell.AnnouncedAttempt // by owner
 	reports []cell.Reported
 	next    int
 }
@@ -31,18 +31,18 @@
 	p := &benchCell{now: 1_000_000}
 	var members []catalog.Member
 	for i := range endpoints {
-		m := catalog.Member{Name: fmt.Sprintf("e%02d", i), Role: catalog.RoleDecode, Slots: 20, Link: 1_000_000}
+		m := catalog.Member{Name: fmt.Sprintf("e%02d", i), Role: catalog.RoleDecode, Slots: 20, LinkRate: 1_000_000}
 		if i%3 == 0 {
 			m.Role = catalog.RolePrefill
 		}
 		members = append(members, m)
 	}
-	p.cell = cell.New(name, p.now, cell.Options{Policy: cell.PolicyJoint, OwnerExpiry: expiry, RetryShare: 0.1})
+	p.cell = cell.New(name, p.now, cell.Options{Policy: cell.PolicyJoint, OwnerExpiry: expiry, RetryRatio: 0.1})
 	p.cell.Apply(p.now, cell.Configured{Catalog: catalog.New(), Members: members})
 	for i := range entries {
 		p.owners = append(p.owners, cell.Owner{Node: fmt.Sprintf("n%02d", i), Incarnation: 1})
 	}
-	p.running = make([][]cell.Running, entries)
+	p.running = make([][]cell.AnnouncedAttempt, entries)
 	n := 0
 	for _, m := range members {
 		report := cell.Reported{Endpoint: m.Name, Report: endpoint.Report{Load: endpoint.Load{Running: 19, StepUS: 37_000}}}
@@ -51,8 +51,8 @@
 				break
 			}
 			id := cell.NewAttemptID(fmt.Sprintf("00000000-0000-0000-0000-%012d", n), 1)
-			p.running[n%entries] = append(p.running[n%entries], cell.Running{Attempt: id, Phase: cell.Streaming, Prefill: "e00", Decode: m.Name})
-			report.Report.Held = append(report.Report.Held, endpoint.Held{Attempt: string(id), Phase: "decode"})
+			p.running[n%entries] = append(p.running[n%entries], cell.AnnouncedAttempt{Attempt: id, Phase: cell.Streaming, Prefill: "e00", Decode: m.Name})
+			report.Report.Held = append(report.Report.Held, endpoint.HeldAttempt{Attempt: string(id), Phase: "decode"})
 			n++
 		}
 		p.reports = append(p.reports, report)
@@ -64,13 +64,13 @@
 
 func (p *benchCell) announce() {
 	for i, o := range p.owners {
-		p.cell.Apply(p.now, cell.Announce{Cell: name, Owner: o, Running: p.running[i]})
+		p.cell.Apply(p.now, cell.Announcement{Cell: name, Owner: o, Running: p.running[i]})
 	}
 }
 
 func (p *benchCell) report() {
 	for _, r := range p.reports {
-		r.Began = p.now
+		r.RequestedAt = p.now
 		p.cell.Apply(p.now, r)
 	}
 }
@@ -81,14 +81,14 @@
 	return a.Attempt
 }
 
-func (p *benchCell) nextAsk() cell.Ask {
+func (p *benchCell) nextAsk() cell.AttemptRequest {
 	p.next++
 	id := cell.NewAttemptID(fmt.Sprintf("10000000-0000-0000-0000-%012d", p.next), 1)
 	blocks := make([]uint64, 24)
 	for i := range blocks {
 		blocks[i] = uint64(p.next%500*100 + i)
 	}
-	return cell.Ask{
+	return cell.AttemptRequest{
 		Cell: name, Attempt: id, Owner: p.owners[p.next%len(p.owners)], Workspace: fmt.Sprintf("w%d", p.next%50),
 		Kind: "k", Tokens: 1500, Blocks: blocks, MaxTokens: 100, Budget: 1500 * time.Millisecond,
 	}
@@ -102,9 +102,9 @@
 			for b.Loop() {
 				p.now++
 				id := p.ask()
-				p.cell.Apply(p.now, cell.Progress{Cell: name, Attempt: id, Phase: cell.Prefilled, Took: 50 * time.Millisecond})
+				p.cell.Apply(p.now, cell.Progress{Cell: name, Attempt: id, Phase: cell.Prefilled, Duration: 50 * time.Millisecond})
 				p.cell.Apply(p.now, cell.Progress{Cell: name, Attempt: id, Phase: cell.Streaming})
-				p.cell.Apply(p.now, cell.Progress{Cell: name, Attempt: id, Phase: cell.Finished, Took: time.Second, Tokens: 50})
+				p.cell.Apply(p.now, cell.Progress{Cell: name, Attempt: id, Phase: cell.Finished, Duration: time.Second, Tokens: 50})
 				if p.next%100 == 0 {
 					p.announce()
 				}
@@ -161,8 +161,8 @@
 	for range 20_000 {
 		p.now++
 		id := p.ask()
-		p.cell.Apply(p.now, cell.Progress{Cell: name, Attempt: id, Phase: cell.Prefilled, Took: 50 * time.Millisecond})
-		p.cell.Apply(p.now, cell.Progress{Cell: name, Attempt: id, Phase: cell.Finished, Took: time.Second, Tokens: 50})
+		p.cell.Apply(p.now, cell.Progress{Cell: name, Attempt: id, Phase: cell.Prefilled, Duration: 50 * time.Millisecond})
+		p.cell.Apply(p.now, cell.Progress{Cell: name, Attempt: id, Phase: cell.Finished, Duration: time.Second, Tokens: 50})
 		if p.next%100 == 0 {
 			p.announce()
 		}
--- a/internal/cell/cell.go
+++ b/internal/cell/cell.go
@@ -27,11 +27,11 @@
 type Options struct {
 	Policy      string
 	OwnerExpiry time.Duration // how long after its owner's last message an attempt is ended
-	RetryShare  float64       // retries allowed per finished request
-	// Violated is called for every broken invariant; tests fail on it.
-	Violated func(what string)
-	// Counted is called with the name of every decision to be counted.
-	Counted func(what string)
+	RetryRatio  float64       // retries allowed per finished request
+	// OnViolation is called for every broken invariant; tests fail on it.
+	OnViolation func(what string)
+	// OnDecision is called with the name of every decision to be counted.
+	OnDecision func(what string)
 }
 
 // Cell is the state of one dispatcher. It is not safe for concurrent use.
@@ -67,11 +67,11 @@
 
 // New returns the dispatcher of a cell, started at now.
 func New(name catalog.Cell, now clock.Millis, o Options) *Cell {
-	if o.Violated == nil {
-		o.Violated = func(string) {}
+	if o.OnViolation == nil {
+		o.OnViolation = func(string) {}
 	}
-	if o.Counted == nil {
-		o.Counted = func(string) {}
+	if o.OnDecision == nil {
+		o.OnDecision = func(string) {}
 	}
 	return &Cell{
 		Name: name, options: o, startedAt: now, catalog: catalog.New(),
@@ -87,11 +87,11 @@
 func (c *Cell) Apply(now clock.Millis, e Event) []Effect {
 	c.effects = nil
 	switch e := e.(type) {
-	case Ask:
+	case AttemptRequest:
 		c.admit(now, e)
 	case Progress:
 		c.progress(now, e)
-	case Announce:
+	case Announcement:
 		c.announce(now, e)
 	case Configured:
 		c.configure(now, e)
@@ -174,15 +174,15 @@
 	}
 	for _, s := range c.order {
 		if s.Role != catalog.RolePrefill && len(s.used) > s.Slots+s.adopted() {
-			c.options.Violated("slots of " + s.Name + " granted twice")
+			c.options.OnViolation("slots of " + s.Name + " granted twice")
 		}
 	}
 	for id, r := range c.reservations {
 		if r.owner.Node == "" || c.byOwner[r.owner.id()][id] != r {
-			c.options.Violated("reservation " + string(id) + " has no owner")
+			c.options.OnViolation("reservation " + string(id) + " has no owner")
 		}
 		if !r.holdPrefill && !r.holdDecode {
-			c.options.Violated("reservation " + string(id) + " holds nothing")
+			c.options.OnViolation("reservation " + string(id) + " holds nothing")
 		}
 	}
 }
@@ -202,15 +202,15 @@
 // Queued returns the number of waiting attempts.
 func (c *Cell) Queued() int { return len(c.queue.items) }
 
-// Digest is the headroom of a cell, by which entries compare cells.
-type Digest struct {
+// Headroom is the headroom of a cell, by which entries compare cells.
+type Headroom struct {
 	Free    int           `cbor:"1,keyasint"` // decode slots, or slots of a plain service
 	Waiting int           `cbor:"2,keyasint"`
 	Wait    time.Duration `cbor:"3,keyasint"` // predicted for a new request
 }
 
-// Digest returns the cell's headroom.
-func (c *Cell) Digest(now clock.Millis) Digest {
+// Headroom returns the cell's headroom.
+func (c *Cell) Headroom(now clock.Millis) Headroom {
 	n := len(c.queue.items)
-	return Digest{Free: c.openSlots(now), Waiting: n, Wait: c.predictWait(now, n)}
+	return Headroom{Free: c.openSlots(now), Waiting: n, Wait: c.predictWait(now, n)}
 }
--- a/internal/cell/cell_test.go
+++ b/internal/cell/cell_test.go
@@ -147,7 +147,7 @@
 	w.run(100 * time.Millisecond)
 	explained := w.cell.Explain("long")
 	c.Assert(explained, qt.HasLen, 1)
-	c.Assert(explained[0].What, qt.Equals, "refused: first_token_late")
+	c.Assert(explained[0].Action, qt.Equals, "refused: first_token_late")
 	c.Assert(explained[0].Terms.FirstToken() > explained[0].Terms.Budget, qt.IsTrue)
 	c.Assert(clock.Millis(0) < explained[0].At, qt.IsTrue)
 }
@@ -227,7 +227,7 @@
 	w := newSimulation(6, 1, 1)
 	w.run(500 * time.Millisecond)
 	owner := w.entries[0].owner
-	ask := cell.Ask{
+	ask := cell.AttemptRequest{
 		Cell: name, Attempt: "r.1", Request: "r", Owner: owner, Workspace: "w", Kind: "k", Class: "c",
 		Tokens: 100, MaxTokens: 10, Budget: time.Second,
 	}
@@ -235,9 +235,9 @@
 	w.apply(ask)
 	c.Assert(w.answers["r.1"], qt.Equals, 1)
 	c.Assert(w.cell.Running(), qt.HasLen, 1)
-	running := cell.Running{Attempt: "r.1", Phase: cell.Streaming, Prefill: "p0", Decode: "d0"}
-	w.apply(cell.Progress{Cell: name, Attempt: "r.1", Phase: cell.Finished, Took: time.Second, Tokens: 10})
-	w.apply(cell.Announce{Cell: name, Owner: owner, Running: []cell.Running{running}})
+	running := cell.AnnouncedAttempt{Attempt: "r.1", Phase: cell.Streaming, Prefill: "p0", Decode: "d0"}
+	w.apply(cell.Progress{Cell: name, Attempt: "r.1", Phase: cell.Finished, Duration: time.Second, Tokens: 10})
+	w.apply(cell.Announcement{Cell: name, Owner: owner, Running: []cell.AnnouncedAttempt{running}})
 	c.Assert(w.cell.Running(), qt.HasLen, 0)
 	w.apply(ask) // the entry asked again before it received the grant
 	c.Assert(w.answers["r.1"], qt.Equals, 1)
--- a/internal/cell/effect.go
+++ b/internal/cell/effect.go
@@ -26,7 +26,7 @@
 // SendUnknown tells an entry which attempts to request again.
 type SendUnknown struct {
 	To      Owner
-	Unknown Unknown
+	Unknown UnknownAttempts
 }
 
 // Cancel frees an attempt's memory at an endpoint. The result is applied as a
--- a/internal/cell/event.go
+++ b/internal/cell/event.go
@@ -18,9 +18,9 @@
 
 // Reported contains an endpoint's report, read at or after Began.
 type Reported struct {
-	Endpoint string
-	Report   endpoint.Report
-	Began    clock.Millis
+	Endpoint    string
+	Report      endpoint.Report
+	RequestedAt clock.Millis
 }
 
 // Unreachable means that an endpoint's report could not be read.
@@ -30,17 +30,17 @@
 type Cancelled struct {
 	Endpoint string
 	Attempt  AttemptID
-	Known    bool // the endpoint held the attempt and freed it
+	Freed    bool // the endpoint held the attempt and freed it
 }
 
 // Tick triggers the periodic checks.
 type Tick struct{}
 
-func (Ask) event()         {}
-func (Progress) event()    {}
-func (Announce) event()    {}
-func (Configured) event()  {}
-func (Reported) event()    {}
-func (Unreachable) event() {}
-func (Cancelled) event()   {}
-func (Tick) event()        {}
+func (AttemptRequest) event() {}
+func (Progress) event()       {}
+func (Announcement) event()   {}
+func (Configured) event()     {}
+func (Reported) event()       {}
+func (Unreachable) event()    {}
+func (Cancelled) event()      {}
+func (Tick) event()           {}
--- a/internal/cell/explain.go
+++ b/internal/cell/explain.go
@@ -14,7 +14,7 @@
 type Decision struct {
 	At      clock.Millis `cbor:"1,keyasint" json:"at"`
 	Attempt AttemptID    `cbor:"2,keyasint" json:"attempt"`
-	What    string       `cbor:"3,keyasint" json:"what"`
+	Action  string       `cbor:"3,keyasint" json:"what"`
 	Terms   Terms        `cbor:"4,keyasint" json:"terms"`
 }
 
@@ -27,7 +27,7 @@
 func newDecisions() decisions { return decisions{ring: make([]Decision, 0, 64)} }
 
 func (c *Cell) recordDecision(now clock.Millis, id AttemptID, what string, t Terms) {
-	d := Decision{At: now, Attempt: id, What: what, Terms: t}
+	d := Decision{At: now, Attempt: id, Action: what, Terms: t}
 	if len(c.decisions.ring) < maxDecisions {
 		c.decisions.ring = append(c.decisions.ring, d)
 		return
@@ -49,8 +49,8 @@
 	return found
 }
 
-// Holding is a running attempt as operators see it.
-type Holding struct {
+// RunningAttempt is a running attempt as operators see it.
+type RunningAttempt struct {
 	Attempt   AttemptID
 	Workspace string
 	Kind      string
@@ -63,14 +63,14 @@
 }
 
 // Running returns the attempts that hold reservations, ordered by id.
-func (c *Cell) Running() []Holding {
-	var all []Holding
+func (c *Cell) Running() []RunningAttempt {
+	var all []RunningAttempt
 	for _, r := range selectReservations(c.reservations, func(*reservation) bool { return true }) {
 		phase := string(r.phase)
 		if r.ending {
 			phase = "ending"
 		}
-		all = append(all, Holding{
+		all = append(all, RunningAttempt{
 			Attempt: r.attempt, Workspace: r.workspace, Kind: r.kind, Class: r.class, Entry: r.owner.Node,
 			Phase: phase, Prefill: r.prefill, Decode: r.decode, Since: r.granted,
 		})
@@ -78,41 +78,41 @@
 	return all
 }
 
-// Pending is a waiting attempt as operators see it.
-type Pending struct {
-	Ask      Ask
-	Position int
-	Since    clock.Millis
-	Deadline clock.Millis
-	Why      string
+// WaitingAttempt is a waiting attempt as operators see it.
+type WaitingAttempt struct {
+	Request    AttemptRequest
+	Position   int
+	Since      clock.Millis
+	Deadline   clock.Millis
+	WaitingFor string
 }
 
 // Waiting returns the queued attempts in the order of service, each with what
 // it waits for.
-func (c *Cell) Waiting(now clock.Millis) []Pending {
+func (c *Cell) Waiting(now clock.Millis) []WaitingAttempt {
 	c.queue.sort()
-	var all []Pending
+	var all []WaitingAttempt
 	for i, w := range c.queue.items {
 		why := "a prefill endpoint"
 		if c.slotWait(now, i) > c.prefillWait(now, i) {
 			why = "a decode slot"
 		}
-		all = append(all, Pending{Ask: w.ask, Position: i + 1, Since: w.since, Deadline: w.deadline, Why: why})
+		all = append(all, WaitingAttempt{Request: w.ask, Position: i + 1, Since: w.since, Deadline: w.deadline, WaitingFor: why})
 	}
 	return all
 }
 
-// Status is one endpoint as operators see it.
-type Status struct {
+// EndpointStatus is one endpoint as operators see it.
+type EndpointStatus struct {
 	catalog.Member
-	Used     int
-	Strange  int // attempts held there without a reservation
-	Pending  int
-	Ejected  bool
-	Silent   bool         // too many reports in a row failed
-	Urgent   bool         // its next report should be read soon
-	Reported int          // attempts running according to its latest report, which lags
-	Heard    clock.Millis // 0: never
+	Used            int
+	Orphans         int // attempts held there without a reservation
+	Pending         int
+	Ejected         bool
+	Unreachable     bool         // too many reports in a row failed
+	NeedsReport     bool         // its next report should be read soon
+	ReportedRunning int          // attempts running according to its latest report, which lags
+	ReportedAt      clock.Millis // 0: never
 }
 
 // needsReport reports whether an endpoint's next report should be read soon:
@@ -132,13 +132,13 @@
 }
 
 // Endpoints returns the status of the cell's endpoints, ordered by name.
-func (c *Cell) Endpoints() []Status {
-	var all []Status
+func (c *Cell) Endpoints() []EndpointStatus {
+	var all []EndpointStatus
 	for _, s := range c.order {
-		all = append(all, Status{
-			Member: s.Member, Used: len(s.used), Strange: len(s.orphans), Pending: len(s.pending),
-			Ejected: s.health.ejected, Silent: s.unreachable(), Urgent: c.needsReport(s),
-			Reported: s.report.Running, Heard: s.reportedAt,
+		all = append(all, EndpointStatus{
+			Member: s.Member, Used: len(s.used), Orphans: len(s.orphans), Pending: len(s.pending),
+			Ejected: s.health.ejected, Unreachable: s.unreachable(), NeedsReport: c.needsReport(s),
+			ReportedRunning: s.report.Running, ReportedAt: s.reportedAt,
 		})
 	}
 	return all
--- a/internal/cell/health_test.go
+++ b/internal/cell/health_test.go
@@ -26,18 +26,18 @@
 
 func newHealthCell(decodes int) *healthCell {
 	w := &healthCell{now: 1_000_000, counted: map[string]int{}, step: map[string]time.Duration{}, budget: time.Second}
-	members := []catalog.Member{{Name: "p0", Role: catalog.RolePrefill, Slots: 20, Link: 1_000_000}}
+	members := []catalog.Member{{Name: "p0", Role: catalog.RolePrefill, Slots: 20, LinkRate: 1_000_000}}
 	for i := range decodes {
-		members = append(members, catalog.Member{Name: fmt.Sprintf("d%d", i), Role: catalog.RoleDecode, Slots: 4, Link: 1})
+		members = append(members, catalog.Member{Name: fmt.Sprintf("d%d", i), Role: catalog.RoleDecode, Slots: 4, LinkRate: 1})
 	}
 	w.cell = cell.New(name, w.now, cell.Options{
-		Policy: cell.PolicyJoint, OwnerExpiry: time.Minute, RetryShare: 0.1,
-		Counted: func(what string) { w.counted[what]++ },
+		Policy: cell.PolicyJoint, OwnerExpiry: time.Minute, RetryRatio: 0.1,
+		OnDecision: func(what string) { w.counted[what]++ },
 	})
 	w.cell.Apply(w.now, cell.Configured{Catalog: catalog.New(), Members: members})
 	for _, m := range members {
 		w.step[m.Name] = 20 * time.Millisecond
-		w.cell.Apply(w.now, cell.Reported{Endpoint: m.Name, Began: w.now, Report: endpoint.Report{
+		w.cell.Apply(w.now, cell.Reported{Endpoint: m.Name, RequestedAt: w.now, Report: endpoint.Report{
 			Load: endpoint.Load{Running: 1, StepUS: 20_000},
 		}})
 	}
@@ -50,7 +50,7 @@
 	w.next++
 	id := cell.NewAttemptID(fmt.Sprint(w.next), 1)
 	w.now = w.now.Add(100 * time.Millisecond)
-	for _, e := range w.cell.Apply(w.now, cell.Ask{
+	for _, e := range w.cell.Apply(w.now, cell.AttemptRequest{
 		Cell: name, Attempt: id, Owner: cell.Owner{Node: "e"}, Workspace: "w", Kind: "k",
 		Tokens: 10, MaxTokens: 50, Budget: w.budget, Retry: retry,
 	}) {
@@ -65,9 +65,9 @@
 func (w *healthCell) answer(id cell.AttemptID, at string) string {
 	const tokens = 10
 	for _, p := range []cell.Progress{
-		{Phase: cell.Prefilled, Took: time.Millisecond},
+		{Phase: cell.Prefilled, Duration: time.Millisecond},
 		{Phase: cell.Streaming},
-		{Phase: cell.Finished, Took: tokens * w.step[at], Tokens: tokens},
+		{Phase: cell.Finished, Duration: tokens * w.step[at], Tokens: tokens},
 	} {
 		p.Cell, p.Attempt = name, id
 		w.cell.Apply(w.now, p)
@@ -108,13 +108,13 @@
 	for i := range 80 {
 		id := cell.NewAttemptID(fmt.Sprint(i), 1)
 		w.now = w.now.Add(10 * time.Millisecond)
-		for _, e := range w.cell.Apply(w.now, cell.Ask{
+		for _, e := range w.cell.Apply(w.now, cell.AttemptRequest{
 			Cell: name, Attempt: id, Owner: cell.Owner{Node: "e"}, Tokens: 10, MaxTokens: 50, Budget: time.Second,
 		}) {
 			if g, ok := e.(cell.SendGrant); ok {
-				w.cell.Apply(w.now, cell.Progress{Cell: name, Attempt: id, Phase: cell.Failed, At: g.Grant.Decode})
-				w.cell.Apply(w.now, cell.Cancelled{Endpoint: g.Grant.Decode, Attempt: id, Known: true})
-				w.cell.Apply(w.now, cell.Cancelled{Endpoint: "p0", Attempt: id, Known: true})
+				w.cell.Apply(w.now, cell.Progress{Cell: name, Attempt: id, Phase: cell.Failed, FailedEndpoint: g.Grant.Decode})
+				w.cell.Apply(w.now, cell.Cancelled{Endpoint: g.Grant.Decode, Attempt: id, Freed: true})
+				w.cell.Apply(w.now, cell.Cancelled{Endpoint: "p0", Attempt: id, Freed: true})
 			}
 		}
 	}
@@ -145,7 +145,7 @@
 	silence("d1")
 	c.Assert(w.serve(false), qt.Equals, "")
 	c.Assert(w.refused, qt.Equals, 1) // at once, so that its entry can try another zone
-	w.cell.Apply(w.now, cell.Reported{Endpoint: "d0", Began: w.now})
+	w.cell.Apply(w.now, cell.Reported{Endpoint: "d0", RequestedAt: w.now})
 	c.Assert(w.serve(false), qt.Equals, "d0")
 }
 
--- a/internal/cell/listing.go
+++ b/internal/cell/listing.go
@@ -25,7 +25,7 @@
 		c.checkHeld(now, s, AttemptID(h.Attempt))
 	}
 	for _, r := range selectReservations(c.ending, func(r *reservation) bool {
-		return r.holdsAt(s.Name) && !held[r.attempt] && e.Began.Sub(r.endingSince) > maxStartDelay
+		return r.holdsAt(s.Name) && !held[r.attempt] && e.RequestedAt.Sub(r.endingSince) > maxStartDelay
 	}) {
 		c.release(now, r, s.Name)
 	}
@@ -56,7 +56,7 @@
 		return
 	}
 	if now.Sub(first) > c.options.OwnerExpiry && now.Sub(c.startedAt) > c.options.OwnerExpiry {
-		c.options.Counted("stranger_cancelled")
+		c.options.OnDecision("stranger_cancelled")
 		c.emit(Cancel{Endpoint: s.Name, Address: s.Address, Attempt: id})
 	}
 }
@@ -71,7 +71,7 @@
 	}
 	s.missedReports++
 	if s.missedReports == maxMissedReports {
-		c.options.Counted("closed")
+		c.options.OnDecision("closed")
 	}
 	for _, r := range selectReservations(c.ending, func(r *reservation) bool {
 		return r.holdsAt(name) && now.Sub(r.endingSince) > unreachableTimeout && now.Sub(s.reportedAt) > unreachableTimeout
--- a/internal/cell/message.go
+++ b/internal/cell/message.go
@@ -25,8 +25,8 @@
 	Address     netip.AddrPort `cbor:"3,keyasint"`
 }
 
-// Ask is an entry's request for a grant to run an attempt.
-type Ask struct {
+// AttemptRequest is an entry's request for a grant to run an attempt.
+type AttemptRequest struct {
 	Cell      catalog.Cell  `cbor:"1,keyasint"`
 	Attempt   AttemptID     `cbor:"2,keyasint"`
 	Request   string        `cbor:"3,keyasint"`
@@ -104,22 +104,22 @@
 	Withdrawn Phase = "withdrawn"
 )
 
-// Over reports whether an attempt in this phase has ended.
-func (p Phase) Over() bool { return p == Finished || p == Failed || p == Withdrawn }
+// Ended reports whether an attempt in this phase has ended.
+func (p Phase) Ended() bool { return p == Finished || p == Failed || p == Withdrawn }
 
 // Progress reports that an attempt reached a phase.
 type Progress struct {
-	Cell    catalog.Cell  `cbor:"1,keyasint"`
-	Attempt AttemptID     `cbor:"2,keyasint"`
-	Phase   Phase         `cbor:"3,keyasint"`
-	Took    time.Duration `cbor:"4,keyasint"` // duration of the phase that ended
-	Cached  int           `cbor:"5,keyasint"` // with Prefilled: prompt tokens that were cached
-	Tokens  int           `cbor:"6,keyasint"` // with Finished: length of the answer
-	At      string        `cbor:"7,keyasint"` // with Failed: the endpoint at fault
+	Cell           catalog.Cell  `cbor:"1,keyasint"`
+	Attempt        AttemptID     `cbor:"2,keyasint"`
+	Phase          Phase         `cbor:"3,keyasint"`
+	Duration       time.Duration `cbor:"4,keyasint"` // duration of the phase that ended
+	Cached         int           `cbor:"5,keyasint"` // with Prefilled: prompt tokens that were cached
+	Tokens         int           `cbor:"6,keyasint"` // with Finished: length of the answer
+	FailedEndpoint string        `cbor:"7,keyasint"` // with Failed: the endpoint at fault
 }
 
-// Running is a granted attempt in an announcement.
-type Running struct {
+// AnnouncedAttempt is a granted attempt in an announcement.
+type AnnouncedAttempt struct {
 	Attempt   AttemptID     `cbor:"1,keyasint"`
 	Phase     Phase         `cbor:"2,keyasint"`
 	Prefill   string        `cbor:"3,keyasint"`
@@ -130,18 +130,18 @@
 	TBT       time.Duration `cbor:"8,keyasint"`
 }
 
-// Announce lists an entry's attempts in one cell and renews them. Attempts that
+// Announcement lists an entry's attempts in one cell and renews them. Attempts that
 // it leaves out are no longer wanted.
-type Announce struct {
-	Cell    catalog.Cell `cbor:"1,keyasint"`
-	Owner   Owner        `cbor:"2,keyasint"`
-	Running []Running    `cbor:"3,keyasint"`
-	Waiting []AttemptID  `cbor:"4,keyasint"`
+type Announcement struct {
+	Cell    catalog.Cell       `cbor:"1,keyasint"`
+	Owner   Owner              `cbor:"2,keyasint"`
+	Running []AnnouncedAttempt `cbor:"3,keyasint"`
+	Waiting []AttemptID        `cbor:"4,keyasint"`
 }
 
-// Unknown answers an announcement: the dispatcher does not know these waiting
+// UnknownAttempts answers an announcement: the dispatcher does not know these waiting
 // attempts, so the entry must request them again.
-type Unknown struct {
+type UnknownAttempts struct {
 	Cell     catalog.Cell `cbor:"1,keyasint"`
 	Attempts []AttemptID  `cbor:"2,keyasint"`
 }
--- a/internal/cell/outlier.go
+++ b/internal/cell/outlier.go
@@ -11,13 +11,13 @@
 // recordFailure counts a failure of an endpoint.
 func (c *Cell) recordFailure(now clock.Millis, name string) {
 	if s, ok := c.servers[name]; ok && s.health.recordFailure(now, c.mayEject(now, s)) {
-		c.options.Counted("ejected")
+		c.options.OnDecision("ejected")
 	}
 }
 
 func (c *Cell) recordSuccess(s *server) {
 	if s.health.recordSuccess() {
-		c.options.Counted("readmitted")
+		c.options.OnDecision("readmitted")
 	}
 }
 
@@ -57,14 +57,14 @@
 // median.
 func (c *Cell) evaluateDecode(now clock.Millis, s *server, p Progress) {
 	if s.Role == catalog.RoleService {
-		s.callTime += time.Duration(ewmaWeight * float64(p.Took-s.callTime))
+		s.callTime += time.Duration(ewmaWeight * float64(p.Duration-s.callTime))
 		c.recordSuccess(s)
 		return
 	}
 	if p.Tokens < 2 {
 		return
 	}
-	step := float64(p.Took) / float64(p.Tokens)
+	step := float64(p.Duration) / float64(p.Tokens)
 	occupancy := max(len(s.used), 1)
 	median := c.median(s, func(o *server) float64 { return float64(o.step.predict(occupancy)) })
 	if median > 0 && step > slowFactor*median {
--- a/internal/cell/queue.go
+++ b/internal/cell/queue.go
@@ -15,7 +15,7 @@
 
 // waiting is an attempt in the queue.
 type waiting struct {
-	ask      Ask
+	ask      AttemptRequest
 	rank     int
 	weight   float64 // of the workspace
 	cost     float64 // weight of the kind times the predicted work
--- a/internal/cell/reservation.go
+++ b/internal/cell/reservation.go
@@ -64,11 +64,11 @@
 	case Finished:
 		c.finished(now, r, p)
 	case Failed:
-		c.options.Counted("failed")
-		c.recordFailure(now, p.At)
-		c.end(now, r, "failed at "+p.At)
+		c.options.OnDecision("failed")
+		c.recordFailure(now, p.FailedEndpoint)
+		c.end(now, r, "failed at "+p.FailedEndpoint)
 	case Withdrawn:
-		c.options.Counted("withdrawn")
+		c.options.OnDecision("withdrawn")
 		c.end(now, r, "withdrawn")
 	case Granted:
 	}
@@ -84,7 +84,7 @@
 	s.prefixes.learn(r.expectedCached, p.Cached)
 	s.prefixes.add(r.blocks...)
 	if r.alone {
-		c.evaluatePrefill(now, s, r.tokens-p.Cached, p.Took)
+		c.evaluatePrefill(now, s, r.tokens-p.Cached, p.Duration)
 	}
 }
 
@@ -97,7 +97,7 @@
 }
 
 func (c *Cell) finished(now clock.Millis, r *reservation, p Progress) {
-	c.options.Counted("finished")
+	c.options.OnDecision("finished")
 	r.phase = Finished
 	if p.Tokens > 0 {
 		c.lengths.learn(lengthKey(r.workspace, r.kind), p.Tokens)
@@ -105,7 +105,7 @@
 	if s, ok := c.servers[r.decode]; ok {
 		c.evaluateDecode(now, s, p)
 	}
-	c.retryBudget = min(c.retryBudget+c.options.RetryShare, maxSavedRetries)
+	c.retryBudget = min(c.retryBudget+c.options.RetryRatio, maxSavedRetries)
 	c.releasePrefill(now, r)
 	c.releaseDecode(now, r)
 	c.recordDecision(now, r.attempt, "finished", Terms{})
@@ -151,7 +151,7 @@
 // release.
 func (c *Cell) cancelled(now clock.Millis, e Cancelled) {
 	r, ok := c.reservations[e.Attempt]
-	if !ok || !r.ending || !e.Known {
+	if !ok || !r.ending || !e.Freed {
 		return
 	}
 	c.release(now, r, e.Endpoint)
--- a/internal/cell/server.go
+++ b/internal/cell/server.go
@@ -105,7 +105,7 @@
 
 // linkTime returns the transfer duration of a prompt's KV cache.
 func (s *server) linkTime(tokens int) time.Duration {
-	return time.Duration(tokens) * time.Second / time.Duration(s.Link)
+	return time.Duration(tokens) * time.Second / time.Duration(s.LinkRate)
 }
 
 func (s *server) addPrefill(now clock.Millis, w prefillJob) {
--- a/internal/cell/simulation_test.go
+++ b/internal/cell/simulation_test.go
@@ -120,8 +120,8 @@
 // restart replaces the dispatcher by a new one without state.
 func (w *simulation) restart() {
 	w.cell = cell.New(name, w.now, cell.Options{
-		Policy: cell.PolicyJoint, OwnerExpiry: expiry, RetryShare: 0.1,
-		Violated: func(what string) { w.violations = append(w.violations, what) },
+		Policy: cell.PolicyJoint, OwnerExpiry: expiry, RetryRatio: 0.1,
+		OnViolation: func(what string) { w.violations = append(w.violations, what) },
 	})
 	w.apply(cell.Configured{Catalog: w.catalog, Members: w.catalog.Layout("a")[name]})
 }
@@ -167,7 +167,7 @@
 	e := w.engines[f.Endpoint]
 	known := e.held[f.Attempt]
 	delete(e.held, f.Attempt)
-	w.deliverLossy(func() { w.apply(cell.Cancelled{Endpoint: f.Endpoint, Attempt: f.Attempt, Known: known}) })
+	w.deliverLossy(func() { w.apply(cell.Cancelled{Endpoint: f.Endpoint, Attempt: f.Attempt, Freed: known}) })
 }
 
 func (w *simulation) entryOf(o cell.Owner) *fakeEntry {
@@ -207,7 +207,7 @@
 	id := cell.NewAttemptID(request, 1)
 	a := &fakeAttempt{}
 	e.attempts[id] = a
-	ask := cell.Ask{
+	ask := cell.AttemptRequest{
 		Cell: name, Attempt: id, Request: request, Owner: e.owner, Workspace: "w", Kind: "k", Class: "c",
 		Tokens: tokens, MaxTokens: 50, Budget: 1500 * time.Millisecond,
 	}
@@ -258,7 +258,7 @@
 	}
 	a.phase = cell.Prefilled
 	w.deliverLossy(func() {
-		w.apply(cell.Progress{Cell: name, Attempt: id, Phase: cell.Prefilled, Took: 50 * time.Millisecond})
+		w.apply(cell.Progress{Cell: name, Attempt: id, Phase: cell.Prefilled, Duration: 50 * time.Millisecond})
 	})
 	w.deliver(func() {
 		if !w.engines[a.grant.Prefill].held[id] {
@@ -286,7 +286,7 @@
 		a.over = true
 		delete(e.attempts, id)
 		w.deliverLossy(func() {
-			w.apply(cell.Progress{Cell: name, Attempt: id, Phase: cell.Finished, Took: time.Second, Tokens: 40})
+			w.apply(cell.Progress{Cell: name, Attempt: id, Phase: cell.Finished, Duration: time.Second, Tokens: 40})
 		})
 	})
 }
@@ -322,11 +322,11 @@
 			continue
 		}
 		e.lastAnnounced = w.now
-		an := cell.Announce{Cell: name, Owner: e.owner}
+		an := cell.Announcement{Cell: name, Owner: e.owner}
 		for _, id := range slices.Sorted(maps.Keys(e.attempts)) {
 			a := e.attempts[id]
 			if a.granted {
-				an.Running = append(an.Running, cell.Running{
+				an.Running = append(an.Running, cell.AnnouncedAttempt{
 					Attempt: id, Phase: a.phase, Prefill: a.grant.Prefill, Decode: a.grant.Decode,
 				})
 			} else {
@@ -343,9 +343,9 @@
 		w.deliver(func() {
 			r := endpoint.Report{Load: endpoint.Load{Running: len(e.held), StepUS: 20_000}}
 			for _, h := range slices.Sorted(maps.Keys(e.held)) {
-				r.Held = append(r.Held, endpoint.Held{Attempt: string(h)})
+				r.Held = append(r.Held, endpoint.HeldAttempt{Attempt: string(h)})
 			}
-			w.deliver(func() { w.apply(cell.Reported{Endpoint: id, Report: r, Began: began}) })
+			w.deliver(func() { w.apply(cell.Reported{Endpoint: id, Report: r, RequestedAt: began}) })
 		})
 	}
 }
--- a/internal/changelog/log.go
+++ b/internal/changelog/log.go
@@ -27,9 +27,9 @@
 var Error = errs.Class("change log")
 
 var (
-	// ErrRaced means that the aggregate of a command has changed since the revision on
+	// ErrConflict means that the aggregate of a command has changed since the revision on
 	// which the command was based.
-	ErrRaced = errors.New("concurrently changed by another operator")
+	ErrConflict = errors.New("concurrently changed by another operator")
 	// ErrUnavailable means that the platform did not accept the command.
 	ErrUnavailable = errors.New("platform is unavailable")
 )
@@ -50,8 +50,8 @@
 	store *platform.Store
 	scope tally.Scope
 	log   zerolog.Logger
-	// Changed is called after each new revision, without a lock held.
-	Changed func(*catalog.Catalog)
+	// OnChange is called after each new revision, without a lock held.
+	OnChange func(*catalog.Catalog)
 
 	current atomic.Pointer[catalog.Catalog]
 	loaded  atomic.Bool
@@ -61,7 +61,7 @@
 
 // New returns a Log without configuration.
 func New(store *platform.Store, scope tally.Scope, log zerolog.Logger) *Log {
-	l := &Log{store: store, scope: scope, log: log, Changed: func(*catalog.Catalog) {}}
+	l := &Log{store: store, scope: scope, log: log, OnChange: func(*catalog.Catalog) {}}
 	l.current.Store(catalog.New())
 	return l
 }
@@ -81,16 +81,16 @@
 	return append([]catalog.Change(nil), l.history...)
 }
 
-// Take applies changes that follow the current revision and ignores older ones, so that
+// Apply applies changes that follow the current revision and ignores older ones, so that
 // the configuration never goes back. It returns an error if a revision is missing.
-func (l *Log) Take(changes ...catalog.Change) error {
+func (l *Log) Apply(changes ...catalog.Change) error {
 	for _, ch := range changes {
 		next, err := l.apply(ch)
 		if err != nil {
 			return err
 		}
 		if next != nil {
-			l.Changed(next)
+			l.OnChange(next)
 		}
 	}
 	return nil
@@ -129,7 +129,7 @@
 	}
 	l.mu.Unlock()
 	if newer {
-		l.Changed(next)
+		l.OnChange(next)
 	}
 }
 
@@ -141,10 +141,10 @@
 	delay.InitialInterval, delay.MaxInterval = initialSubmitDelay, retryDelay
 	for range maxSubmitAttempts {
 		if other, ok := l.conflictingChange(base, ch); ok {
-			return ch, Error.Wrap(fmt.Errorf("%w: revision %d by %s", ErrRaced, other.Revision, other.Who))
+			return ch, Error.Wrap(fmt.Errorf("%w: revision %d by %s", ErrConflict, other.Revision, other.Actor))
 		}
 		now := l.Current()
-		ch.Revision, ch.From = now.Revision+1, now.Before(ch)
+		ch.Revision, ch.From = now.Revision+1, now.OldFields(ch)
 		if _, err := now.Apply(ch); err != nil {
 			return ch, Error.Wrap(err)
 		}
@@ -194,7 +194,7 @@
 // every revisionsPerSnapshot revisions.
 func (l *Log) applyAccepted(ctx context.Context, ch catalog.Change) error {
 	l.scope.Counter("config_accepted").Inc(1)
-	if err := l.Take(ch); err != nil {
+	if err := l.Apply(ch); err != nil {
 		return l.CatchUp(ctx)
 	}
 	l.loaded.Store(true) // the next revision can only be created with all earlier ones applied
@@ -247,7 +247,7 @@
 		if err := cbor.Unmarshal(e.Value, &ch); err != nil {
 			return Error.New("%s: %v", e.Key, err)
 		}
-		if err := l.Take(ch); err != nil {
+		if err := l.Apply(ch); err != nil {
 			return err
 		}
 	}
--- a/internal/changelog/log_test.go
+++ b/internal/changelog/log_test.go
@@ -39,7 +39,7 @@
 func (f *fixture) log() *changelog.Log { return changelog.New(f.store, tally.NoopScope, zerolog.Nop()) }
 
 func zone(id, name string) catalog.Change {
-	return catalog.Change{ID: id, Who: id, Verb: catalog.VerbCreate, Noun: catalog.NounZone, Name: name}
+	return catalog.Change{ID: id, Actor: id, Verb: catalog.VerbCreate, Noun: catalog.NounZone, Name: name}
 }
 
 // TestRacingOperators checks that commands submitted concurrently on different processes
@@ -82,7 +82,7 @@
 	_, err := first.Submit(context.Background(), zone("a", "a"), 0)
 	c.Assert(err, qt.IsNil)
 	_, err = second.Submit(context.Background(), zone("b", "a"), 0)
-	c.Assert(err, qt.ErrorIs, changelog.ErrRaced)
+	c.Assert(err, qt.ErrorIs, changelog.ErrConflict)
 	c.Assert(err, qt.ErrorMatches, ".*revision 1 by a.*")
 }
 
@@ -127,12 +127,12 @@
 		c.Assert(err, qt.IsNil)
 	}
 	history := l.History()
-	c.Assert(l.Take(history[0], history[1]), qt.IsNil)
-	c.Assert(l.TakeDelta(changelog.Delta{Revision: 1, Rows: []catalog.Row{{Noun: "zone", Name: "x"}}}), qt.IsNil)
+	c.Assert(l.Apply(history[0], history[1]), qt.IsNil)
+	c.Assert(l.ApplyDelta(changelog.Delta{Revision: 1, Rows: []catalog.Row{{Noun: "zone", Name: "x"}}}), qt.IsNil)
 	c.Assert(l.Current().Revision, qt.Equals, int64(3))
 	gap := history[2]
 	gap.Revision = 9
-	c.Assert(l.Take(gap), qt.IsNotNil)
+	c.Assert(l.Apply(gap), qt.IsNotNil)
 	c.Assert(l.Current().Revision, qt.Equals, int64(3))
 }
 
@@ -148,14 +148,14 @@
 	}
 	c.Assert(writer.CatchUp(context.Background()), qt.IsNil)
 	fresh, other := f.log(), f.log()
-	c.Assert(fresh.Take(writer.History()[0]), qt.IsNil)
+	c.Assert(fresh.Apply(writer.History()[0]), qt.IsNil)
 	c.Assert(fresh.Loaded(), qt.IsFalse)
-	c.Assert(other.TakeDelta(fresh.Delta(changelog.Pull{After: 0})), qt.IsNil)
+	c.Assert(other.ApplyDelta(fresh.Delta(changelog.Pull{After: 0})), qt.IsNil)
 	c.Assert(other.Loaded(), qt.IsFalse)
 	c.Assert(other.Current().Revision, qt.Equals, int64(0))
 	c.Assert(fresh.CatchUp(context.Background()), qt.IsNil)
 	c.Assert(fresh.Loaded(), qt.IsTrue)
-	c.Assert(other.TakeDelta(fresh.Delta(changelog.Pull{After: 0})), qt.IsNil)
+	c.Assert(other.ApplyDelta(fresh.Delta(changelog.Pull{After: 0})), qt.IsNil)
 	c.Assert(other.Loaded(), qt.IsTrue)
 }
 
@@ -174,12 +174,12 @@
 	fresh := f.log()
 	c.Assert(fresh.CatchUp(context.Background()), qt.IsNotNil)
 	c.Assert(fresh.Loaded(), qt.IsFalse)
-	c.Assert(fresh.TakeDelta(peer.Delta(changelog.Pull{After: 0})), qt.IsNil)
+	c.Assert(fresh.ApplyDelta(peer.Delta(changelog.Pull{After: 0})), qt.IsNil)
 	c.Assert(fresh.Loaded(), qt.IsTrue)
 	c.Assert(fresh.Current().Revision, qt.Equals, int64(5))
 	whole := changelog.Delta{Revision: 5, Rows: peer.Current().Rows()}
 	other := f.log()
-	c.Assert(other.TakeDelta(whole), qt.IsNil)
+	c.Assert(other.ApplyDelta(whole), qt.IsNil)
 	c.Assert(other.Current().Rows(), qt.DeepEquals, peer.Current().Rows())
 	c.Assert(other.Delta(changelog.Pull{After: 2}).Revision, qt.Equals, int64(5))
 }
--- a/internal/changelog/pull.go
+++ b/internal/changelog/pull.go
@@ -31,8 +31,8 @@
 	return Delta{Changes: append([]catalog.Change(nil), l.history[p.After+1-first:]...)}
 }
 
-// TakeDelta applies the Delta of a peer.
-func (l *Log) TakeDelta(d Delta) error {
+// ApplyDelta applies the Delta of a peer.
+func (l *Log) ApplyDelta(d Delta) error {
 	if d.Revision > 0 {
 		c, err := catalog.FromRows(d.Revision, d.Rows)
 		if err != nil {
@@ -40,7 +40,7 @@
 		}
 		l.adopt(c)
 	}
-	if err := l.Take(d.Changes...); err != nil {
+	if err := l.Apply(d.Changes...); err != nil {
 		return err
 	}
 	if d.Revision > 0 || len(d.Changes) > 0 {
--- a/internal/claim/shard.go
+++ b/internal/claim/shard.go
@@ -38,27 +38,27 @@
 
 // Claim gives one request the right to run.
 type Claim struct {
-	Key     Key            `cbor:"1,keyasint"`
-	Request string         `cbor:"2,keyasint"`
-	Holder  netip.AddrPort `cbor:"3,keyasint"` // entry that runs it
-	Ends    clock.Millis   `cbor:"4,keyasint"` // when the claim expires
-	Body    uint64         `cbor:"5,keyasint"` // digest of the request, to detect one key used for two requests
+	Key           Key            `cbor:"1,keyasint"`
+	Request       string         `cbor:"2,keyasint"`
+	Holder        netip.AddrPort `cbor:"3,keyasint"` // entry that runs it
+	ExpiresAt     clock.Millis   `cbor:"4,keyasint"` // when the claim expires
+	RequestDigest uint64         `cbor:"5,keyasint"` // digest of the request, to detect one key used for two requests
 }
 
-// Verdict is the decision on a claim.
-type Verdict string
+// Decision is the decision on a claim.
+type Decision string
 
 // The decisions on a claim.
 const (
-	Granted     Verdict = "granted"
-	Taken       Verdict = "taken"       // another request holds the key
-	Unavailable Verdict = "unavailable" // the platform did not answer in time
+	Granted     Decision = "granted"
+	Taken       Decision = "taken"       // another request holds the key
+	Unavailable Decision = "unavailable" // the platform did not answer in time
 )
 
-// Answer is the result of a claim, as sent to the entry.
-type Answer struct {
-	Verdict Verdict `cbor:"1,keyasint"`
-	Claim   Claim   `cbor:"2,keyasint"` // with Taken: the claim that holds the key
+// Result is the result of a claim, as sent to the entry.
+type Result struct {
+	Decision Decision `cbor:"1,keyasint"`
+	Claim    Claim    `cbor:"2,keyasint"` // with Taken: the claim that holds the key
 }
 
 // Effect is an operation that the owner must carry out. The outcome of a Load
@@ -73,11 +73,11 @@
 // created first. A segment that already exists is left as it is: its name
 // contains the head's version, so its content is the same.
 type Write struct {
-	Key     string
-	Value   []byte
-	Version int64
-	Segment string
-	Put     []byte // value of the segment
+	Key          string
+	Value        []byte
+	Version      int64
+	Segment      string
+	SegmentValue []byte // value of the segment
 }
 
 // Delete removes a segment whose claims have all expired.
@@ -88,8 +88,8 @@
 
 // Reply answers the request that Shard.Ask received with this number.
 type Reply struct {
-	Ask    int64
-	Answer Answer
+	Number int64
+	Result Result
 }
 
 func (Load) effect()   {}
@@ -141,8 +141,8 @@
 
 func (s *Shard) headKey() string { return s.prefix + "head" }
 
-// Ask adds a claim. The Reply to it carries number and is due by deadline.
-func (s *Shard) Ask(now clock.Millis, number int64, c Claim, deadline clock.Millis) []Effect {
+// Submit adds a claim. The Reply to it carries number and is due by deadline.
+func (s *Shard) Submit(now clock.Millis, number int64, c Claim, deadline clock.Millis) []Effect {
 	s.waiting = append(s.waiting, &pendingClaim{number: number, claim: c, deadline: deadline})
 	return s.step(now)
 }
@@ -169,7 +169,7 @@
 		}
 		if e.Key == s.headKey() {
 			s.version, s.head = e.Version, h
-		} else if !slices.ContainsFunc(h.Claims, func(c Claim) bool { return c.Ends > now }) {
+		} else if !slices.ContainsFunc(h.Claims, func(c Claim) bool { return c.ExpiresAt > now }) {
 			deletes = append(deletes, Delete{Key: e.Key, Version: e.Version})
 		}
 		for _, c := range h.Claims {
@@ -183,7 +183,7 @@
 }
 
 func (s *Shard) addKnown(now clock.Millis, c Claim) {
-	if c.Ends > now {
+	if c.ExpiresAt > now {
 		s.known[c.Key] = c
 	}
 }
@@ -241,21 +241,21 @@
 	s.waiting = slices.DeleteFunc(s.waiting, func(a *pendingClaim) bool {
 		c, ok := s.known[a.claim.Key]
 		switch {
-		case !ok || c.Ends <= now:
+		case !ok || c.ExpiresAt <= now:
 			return false
 		case c.Request == a.claim.Request:
-			s.reply(a, Answer{Verdict: Granted})
+			s.reply(a, Result{Decision: Granted})
 		case s.abandoned[c.Key] == c.Request:
 			return false
 		default:
-			s.reply(a, Answer{Verdict: Taken, Claim: c})
+			s.reply(a, Result{Decision: Taken, Claim: c})
 		}
 		return true
 	})
 }
 
-func (s *Shard) reply(a *pendingClaim, answer Answer) {
-	s.effects = append(s.effects, Reply{Ask: a.number, Answer: answer})
+func (s *Shard) reply(a *pendingClaim, answer Result) {
+	s.effects = append(s.effects, Reply{Number: a.number, Result: answer})
 }
 
 // expire replies Unavailable to claims past their deadline. That alone does not
@@ -266,7 +266,7 @@
 		if a.deadline > now {
 			return false
 		}
-		s.reply(a, Answer{Verdict: Unavailable})
+		s.reply(a, Result{Decision: Unavailable})
 		return true
 	}
 	s.waiting = slices.DeleteFunc(s.waiting, late)
@@ -281,7 +281,7 @@
 	segment := s.head.Segment
 	if len(claims) >= maxHeadClaims {
 		w.Segment = fmt.Sprintf("%sseg-%08d-%d", s.prefix, segment, s.version)
-		w.Put = encode(head{Segment: segment, Claims: claims})
+		w.SegmentValue = encode(head{Segment: segment, Claims: claims})
 		claims = nil
 		segment++
 	}
--- a/internal/claim/shard_test.go
+++ b/internal/claim/shard_test.go
@@ -95,7 +95,7 @@
 func (o *owner) write(s *store, now clock.Millis, e claim.Write, f outcome) {
 	ok := f != rejected
 	if ok && e.Segment != "" {
-		_, _ = s.put(e.Segment, e.Put, 0) // an existing segment has the same content
+		_, _ = s.put(e.Segment, e.SegmentValue, 0) // an existing segment has the same content
 	}
 	var version int64
 	if ok && f != headRejected {
@@ -135,7 +135,7 @@
 	r.byNumber[r.number] = c
 	c.lastAsk = r.number
 	c.asked++
-	o.addEffects(o.shard.Ask(r.now, r.number, c.claim, r.now.Add(500*time.Millisecond)))
+	o.addEffects(o.shard.Submit(r.now, r.number, c.claim, r.now.Add(500*time.Millisecond)))
 }
 
 // check acts on an owner's replies as an entry does: only the answer to the
@@ -145,15 +145,15 @@
 	replies := o.replies
 	o.replies = nil
 	for _, reply := range replies {
-		if r.answered[reply.Ask] {
-			r.Fatalf("ask %d answered twice", reply.Ask)
+		if r.answered[reply.Number] {
+			r.Fatalf("ask %d answered twice", reply.Number)
 		}
-		r.answered[reply.Ask] = true
-		c := r.byNumber[reply.Ask]
-		if c.over || c.lastAsk != reply.Ask {
+		r.answered[reply.Number] = true
+		c := r.byNumber[reply.Number]
+		if c.over || c.lastAsk != reply.Number {
 			continue
 		}
-		switch reply.Answer.Verdict {
+		switch reply.Result.Decision {
 		case claim.Granted:
 			if first, ok := r.ran[c.claim.Key]; ok {
 				r.Fatalf("key granted to %s and %s", first, c.claim.Request)
@@ -183,7 +183,7 @@
 			case 0, 1, 2:
 				c := &caller{claim: claim.Claim{
 					Key:     claim.NewKey("w", fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "key"))),
-					Request: fmt.Sprint(len(r.callers)), Ends: r.now + 1e9,
+					Request: fmt.Sprint(len(r.callers)), ExpiresAt: r.now + 1e9,
 				}}
 				r.callers = append(r.callers, c)
 				r.ask(c, o)
@@ -215,7 +215,7 @@
 	const claims = 1200
 	for i := range int64(claims) {
 		now = now.Add(interval)
-		o.addEffects(o.shard.Ask(now, i, claim.Claim{Key: claim.NewKey("w", fmt.Sprint(i)), Request: "first", Ends: now + 1e9}, now+1000))
+		o.addEffects(o.shard.Submit(now, i, claim.Claim{Key: claim.NewKey("w", fmt.Sprint(i)), Request: "first", ExpiresAt: now + 1e9}, now+1000))
 		for len(o.pending) > 0 {
 			o.completeCall(s, now, succeeded)
 		}
@@ -224,13 +224,13 @@
 	c.Assert(len(s.entries), qt.Equals, 3) // the head and two segments
 	second := newOwner()
 	for i := range int64(claims) {
-		second.addEffects(second.shard.Ask(now, i, claim.Claim{Key: claim.NewKey("w", fmt.Sprint(i)), Request: "second"}, now+1000))
+		second.addEffects(second.shard.Submit(now, i, claim.Claim{Key: claim.NewKey("w", fmt.Sprint(i)), Request: "second"}, now+1000))
 	}
 	second.completeCall(s, now, succeeded)
 	c.Assert(len(second.replies), qt.Equals, claims)
 	for _, r := range second.replies {
-		c.Assert(r.Answer.Verdict, qt.Equals, claim.Taken)
-		c.Assert(r.Answer.Claim.Request, qt.Equals, "first")
+		c.Assert(r.Result.Decision, qt.Equals, claim.Taken)
+		c.Assert(r.Result.Claim.Request, qt.Equals, "first")
 	}
 }
 
@@ -242,7 +242,7 @@
 	s, o, now := newStore(), newOwner(), clock.Millis(1000)
 	ask := func(i int64) {
 		now = now.Add(interval)
-		o.addEffects(o.shard.Ask(now, i, claim.Claim{Key: claim.NewKey("w", fmt.Sprint(i)), Request: "r", Ends: now + 1e9}, now+10_000))
+		o.addEffects(o.shard.Submit(now, i, claim.Claim{Key: claim.NewKey("w", fmt.Sprint(i)), Request: "r", ExpiresAt: now + 1e9}, now+10_000))
 	}
 	const full = 512
 	for i := range int64(full) {
@@ -259,7 +259,7 @@
 		o.completeCall(s, now, succeeded)
 	}
 	c.Assert(o.replies, qt.HasLen, full+1)
-	c.Assert(o.replies[full].Answer.Verdict, qt.Equals, claim.Granted)
+	c.Assert(o.replies[full].Result.Decision, qt.Equals, claim.Granted)
 }
 
 // TestLateOwnerFreesNothing checks that an owner which replies Unavailable after
@@ -268,25 +268,25 @@
 func TestLateOwnerFreesNothing(t *testing.T) {
 	c := qt.New(t)
 	s, paused, other, now := newStore(), newOwner(), newOwner(), clock.Millis(1000)
-	first := claim.Claim{Key: claim.NewKey("w", "k"), Request: "first", Ends: now + 1e9}
-	paused.addEffects(paused.shard.Ask(now, 1, first, now.Add(500*time.Millisecond)))
+	first := claim.Claim{Key: claim.NewKey("w", "k"), Request: "first", ExpiresAt: now + 1e9}
+	paused.addEffects(paused.shard.Submit(now, 1, first, now.Add(500*time.Millisecond)))
 	paused.completeCall(s, now, succeeded) // it is paused while its write is in progress
-	other.addEffects(other.shard.Ask(now, 2, first, now.Add(500*time.Millisecond)))
+	other.addEffects(other.shard.Submit(now, 2, first, now.Add(500*time.Millisecond)))
 	other.completeCall(s, now, succeeded)
 	other.completeCall(s, now, succeeded)
-	c.Assert(other.replies[0].Answer.Verdict, qt.Equals, claim.Granted)
+	c.Assert(other.replies[0].Result.Decision, qt.Equals, claim.Granted)
 	now = now.Add(5 * time.Second)
 	paused.completeCall(s, now, succeeded) // a conflict
 	paused.addEffects(paused.shard.Tick(now))
-	c.Assert(paused.replies[0].Answer.Verdict, qt.Equals, claim.Unavailable)
-	second := claim.Claim{Key: first.Key, Request: "second", Ends: now + 1e9}
-	paused.addEffects(paused.shard.Ask(now, 3, second, now.Add(500*time.Millisecond)))
+	c.Assert(paused.replies[0].Result.Decision, qt.Equals, claim.Unavailable)
+	second := claim.Claim{Key: first.Key, Request: "second", ExpiresAt: now + 1e9}
+	paused.addEffects(paused.shard.Submit(now, 3, second, now.Add(500*time.Millisecond)))
 	for range 4 {
 		now = now.Add(interval)
 		paused.addEffects(paused.shard.Tick(now))
 		paused.completeCall(s, now, succeeded)
 	}
-	c.Assert(paused.replies[1].Answer.Verdict, qt.Equals, claim.Taken)
+	c.Assert(paused.replies[1].Result.Decision, qt.Equals, claim.Taken)
 }
 
 // TestLostAnswer checks that a claim whose write took effect is granted although
@@ -296,8 +296,8 @@
 		name     string
 		outcomes []outcome
 		pause    time.Duration
-		first    claim.Verdict
-		second   claim.Verdict
+		first    claim.Decision
+		second   claim.Decision
 	}{
 		{"answer comes", []outcome{succeeded, succeeded}, interval, claim.Granted, claim.Taken},
 		{"answer lost, read back", []outcome{succeeded, answerLost, succeeded}, interval, claim.Granted, claim.Taken},
@@ -308,23 +308,23 @@
 			c := qt.New(t)
 			s, o, now := newStore(), newOwner(), clock.Millis(1000)
 			key := claim.NewKey("w", "k")
-			o.addEffects(o.shard.Ask(now, 1, claim.Claim{Key: key, Request: "a", Ends: now + 1e9}, now.Add(500*time.Millisecond)))
+			o.addEffects(o.shard.Submit(now, 1, claim.Claim{Key: key, Request: "a", ExpiresAt: now + 1e9}, now.Add(500*time.Millisecond)))
 			for _, f := range test.outcomes {
 				o.completeCall(s, now, f)
 				now = now.Add(test.pause)
 				o.addEffects(o.shard.Tick(now))
 			}
-			c.Assert(o.replies[0].Answer.Verdict, qt.Equals, test.first)
+			c.Assert(o.replies[0].Result.Decision, qt.Equals, test.first)
 			if test.first == claim.Unavailable {
 				o.shard.Abandon(key, "a") // its entry gave up
 			}
-			o.addEffects(o.shard.Ask(now, 2, claim.Claim{Key: key, Request: "b", Ends: now + 1e9}, now+1e6))
+			o.addEffects(o.shard.Submit(now, 2, claim.Claim{Key: key, Request: "b", ExpiresAt: now + 1e9}, now+1e6))
 			for range 6 {
 				o.completeCall(s, now, succeeded)
 				now = now.Add(interval)
 				o.addEffects(o.shard.Tick(now))
 			}
-			c.Assert(o.replies[1].Answer.Verdict, qt.Equals, test.second)
+			c.Assert(o.replies[1].Result.Decision, qt.Equals, test.second)
 		})
 	}
 }
--- a/internal/command/bench.go
+++ b/internal/command/bench.go
@@ -21,7 +21,7 @@
 // Execute runs the experiment of a plan and prints the result.
 func (b *bench) Execute([]string) error {
 	if b.Default {
-		_, err := Output.Write(experiment.Default)
+		_, err := Output.Write(experiment.DefaultPlan)
 		return Error.Wrap(err)
 	}
 	if b.Args.File == "" {
@@ -33,7 +33,7 @@
 	}
 	var earlier *experiment.Result
 	if b.Against != "" {
-		if earlier, err = experiment.Read(b.Against); err != nil {
+		if earlier, err = experiment.ReadResult(b.Against); err != nil {
 			return err
 		}
 	}
@@ -41,7 +41,7 @@
 	if jobs == 0 {
 		jobs = max(runtime.NumCPU()/2, 1)
 	}
-	result := plan.Play(buildVersion(), jobs)
+	result := plan.RunAll(buildVersion(), jobs)
 	if err := result.Print(Output, earlier); err != nil {
 		return err
 	}
--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		return err
 	}
-	if _, err := peer.Certificates(s.Peers.CA, s.Peers.Certificate, s.Peers.Key); err != nil {
+	if _, err := peer.LoadTLS(s.Peers.CA, s.Peers.Certificate, s.Peers.Key); err != nil {
 		return Error.New("%s: %v", c.Args.File, err)
 	}
 	_, _ = fmt.Fprintf(Output, "%s: good\n", c.Args.File)
--- a/internal/command/gateway.go
+++ b/internal/command/gateway.go
@@ -23,11 +23,11 @@
 	if file == "" {
 		file = platform.SettingsFile()
 	}
-	return Gateway(file, clock.Machine())
+	return RunGateway(file, clock.Machine())
 }
 
-// Gateway runs the gateway command with the given settings file and clocks.
-func Gateway(file string, clocks clock.Source) error {
+// RunGateway runs the gateway command with the given settings file and clocks.
+func RunGateway(file string, clocks clock.Source) error {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	signal.Ignore(syscall.SIGPIPE)
@@ -43,7 +43,7 @@
 	store := platform.NewStore(set.StoreAddress(), set.Store.Timeout, counters.Scope)
 	g, err := gateway.New(set, counters, gateway.Platform{
 		Dialect: platform.Dialect(), Source: platform.Source(store), Registry: platform.Registry(store),
-		Duty: platform.StagingDuty(store), Order: platform.SendOrder, Load: platform.AskLoad, Suspects: platform.Suspects(store), ReadyPath: platform.ReadyPath,
+		Duty: platform.StagingRegistry(store), Order: platform.SendOrder, Load: platform.FetchLoad, Suspects: platform.Suspects(store), ReadyPath: platform.ReadyPath,
 		Clocks: clocks,
 	}, log)
 	if err != nil {
--- a/internal/command/query.go
+++ b/internal/command/query.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		return err
 	}
-	if !s.Reads() {
+	if !s.ReadOnly() {
 		return Error.New("statement is not read-only: use 'trailshed do'")
 	}
 	t, err := c.send(text, 0)
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -40,7 +40,7 @@
 
 // Stages of an engine.
 const (
-	Whole Stage = iota // prefill and decode; also every plain service
+	Combined Stage = iota // prefill and decode; also every plain service
 	Prefill
 	Decode
 )
@@ -49,22 +49,22 @@
 // describes it: a replica that starts again is another incarnation. All state about an
 // endpoint is kept by its ID, so that nothing of one incarnation is attributed to another.
 type Endpoint struct {
-	ID       string         `cbor:"1,keyasint"`           // of this incarnation
-	Entry    string         `cbor:"2,keyasint"`           // name in the store and to the endpoint itself, the same for all incarnations
-	Born     int64          `cbor:"3,keyasint,omitempty"` // start of this incarnation, in ms since 1970; 0 if unknown
-	Service  string         `cbor:"4,keyasint"`
-	Address  netip.AddrPort `cbor:"5,keyasint"`
-	Zone     string         `cbor:"6,keyasint"`
-	Slots    int            `cbor:"7,keyasint"`
-	State    State          `cbor:"8,keyasint,omitempty"`
-	Stage    Stage          `cbor:"9,keyasint,omitempty"`
-	Revision int64          `cbor:"10,keyasint"`           // of the store, when this entry was written
-	Cold     time.Duration  `cbor:"11,keyasint,omitempty"` // how long it would stay cold, when this entry was written
-}
-
-// Live returns the endpoint as the incarnation that started at born.
-func (e Endpoint) Live(born int64) Endpoint {
-	e.Born, e.ID = born, e.Entry
+	ID        string         `cbor:"1,keyasint"`           // of this incarnation
+	Entry     string         `cbor:"2,keyasint"`           // name in the store and to the endpoint itself, the same for all incarnations
+	StartedAt int64          `cbor:"3,keyasint,omitempty"` // start of this incarnation, in ms since 1970; 0 if unknown
+	Service   string         `cbor:"4,keyasint"`
+	Address   netip.AddrPort `cbor:"5,keyasint"`
+	Zone      string         `cbor:"6,keyasint"`
+	Slots     int            `cbor:"7,keyasint"`
+	State     State          `cbor:"8,keyasint,omitempty"`
+	Stage     Stage          `cbor:"9,keyasint,omitempty"`
+	Revision  int64          `cbor:"10,keyasint"`           // of the store, when this entry was written
+	ColdFor   time.Duration  `cbor:"11,keyasint,omitempty"` // how long it would stay cold, when this entry was written
+}
+
+// WithStart returns the endpoint as the incarnation that started at born.
+func (e Endpoint) WithStart(born int64) Endpoint {
+	e.StartedAt, e.ID = born, e.Entry
 	if born != 0 {
 		e.ID += startSeparator + strconv.FormatInt(born, 36)
 	}
@@ -83,8 +83,8 @@
 // earlier revision. An earlier incarnation's entry may be written after that of a later
 // one.
 func (e Endpoint) before(o Endpoint) bool {
-	if e.Born != o.Born && e.Born != 0 && o.Born != 0 {
-		return e.Born < o.Born
+	if e.StartedAt != o.StartedAt && e.StartedAt != 0 && o.StartedAt != 0 {
+		return e.StartedAt < o.StartedAt
 	}
 	return e.Revision < o.Revision
 }
@@ -168,10 +168,10 @@
 // View returns the current view.
 func (d *Directory) View() *View { return d.view.Load() }
 
-// Refutes reports whether this directory has newer facts about an endpoint than the peer
+// Supersedes reports whether this directory has newer facts about an endpoint than the peer
 // that sent it: that it is gone or leaving, that its zone is evacuated, that its address
 // belongs to another endpoint, or that it has started again.
-func (d *Directory) Refutes(e Endpoint) bool {
+func (d *Directory) Supersedes(e Endpoint) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if _, leaving := d.leaving[e.ID]; leaving || d.removedAt[e.entry()] >= e.Revision || d.isEvacuated(e.Zone) {
@@ -191,7 +191,7 @@
 		changes = d.applyConfiguration(e)
 	case Listed:
 		changes = d.applyListing(now, e)
-	case Relayed:
+	case PeerUpdate:
 		changes = d.applyPeerUpdate(e)
 	case Seen:
 		changes = d.applyEntry(e.Endpoint)
@@ -230,19 +230,19 @@
 		return nil
 	}
 	d.table, d.tableRev = e.Table, e.Revision
-	return []Change{{What: ConfigurationChanged, Version: e.Table.Version, Revision: e.Revision}}
+	return []Change{{Kind: ConfigurationChanged, Version: e.Table.Version, Revision: e.Revision}}
 }
 
 // applyListing applies a complete listing of the store: what it lacks is gone, at once or,
 // shortly after an outage, if it is still missing later.
 func (d *Directory) applyListing(now clock.Millis, e Listed) []Change {
 	var changes []Change
-	present := make(map[string]bool, len(e.Endpoints)+len(e.Present))
+	present := make(map[string]bool, len(e.Endpoints)+len(e.PresentEntries))
 	for _, p := range e.Endpoints {
 		present[p.entry()] = true
 		changes = append(changes, d.applyEntry(p)...)
 	}
-	for _, entry := range e.Present {
+	for _, entry := range e.PresentEntries {
 		present[entry] = true
 	}
 	for entry, h := range d.endpoints {
@@ -258,24 +258,24 @@
 
 // applyPeerUpdate applies what a peer has sent. A peer with a complete view has already
 // decided about doubtful endpoints, so what it lacks is gone.
-func (d *Directory) applyPeerUpdate(e Relayed) []Change {
+func (d *Directory) applyPeerUpdate(e PeerUpdate) []Change {
 	var changes []Change
 	present := make(map[string]bool, len(e.Endpoints))
 	for _, p := range e.Endpoints {
 		present[p.entry()] = true
 		changes = append(changes, d.applyEntry(p)...)
 	}
-	for _, g := range e.Gone {
+	for _, g := range e.Removed {
 		if h := d.endpoints[g.Entry]; h != nil && h.endpoint.Revision <= g.Revision {
 			changes = append(changes, d.removeEndpoint(h, g.Revision)...)
 		}
 	}
 	for entry, h := range d.endpoints {
-		if e.Whole && !present[entry] && h.endpoint.Revision <= e.Revision {
+		if e.Complete && !present[entry] && h.endpoint.Revision <= e.Revision {
 			changes = append(changes, d.removeEndpoint(h, e.Revision)...)
 		}
 	}
-	if e.Whole {
+	if e.Complete {
 		changes = append(changes, d.applyAllEvacuations(e.Evacuations, e.Revision)...)
 	} else {
 		for _, z := range e.Evacuations {
@@ -288,10 +288,10 @@
 
 // Since returns what changed after a revision, for a peer that has everything up to it. If
 // limit is not 0, it stops after that many endpoints, at the end of a revision.
-func (d *Directory) Since(revision int64, limit int) Relayed {
+func (d *Directory) Since(revision int64, limit int) PeerUpdate {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	out := Relayed{Revision: d.revision, Digest: d.view.Load().Digest}
+	out := PeerUpdate{Revision: d.revision, Digest: d.view.Load().Digest}
 	after := revision + 1
 	d.byRevision.Ascend(&record{endpoint: &Endpoint{Revision: after}}, func(h *record) bool {
 		// Entries of one revision stay together: the peer continues after that revision.
@@ -302,13 +302,13 @@
 		out.Endpoints = append(out.Endpoints, *h.endpoint)
 		return true
 	})
-	out.Whole = revision == 0 && !out.More
+	out.Complete = revision == 0 && !out.More
 	if revision > 0 {
 		d.removals.Ascend(Removed{Revision: after}, func(r Removed) bool {
 			if r.Revision > out.Revision {
 				return false
 			}
-			out.Gone = append(out.Gone, r)
+			out.Removed = append(out.Removed, r)
 			return true
 		})
 	}
@@ -329,7 +329,7 @@
 	h := d.endpoints[p.entry()]
 	if h == nil {
 		d.add(p)
-		return []Change{{What: EndpointJoined, Endpoint: p, Revision: p.Revision}}
+		return []Change{{Kind: EndpointJoined, Endpoint: p, Revision: p.Revision}}
 	}
 	before := *h.endpoint
 	if p.before(before) {
@@ -342,8 +342,8 @@
 		d.discard(h)
 		d.add(p)
 		return []Change{
-			{What: EndpointGone, Endpoint: before, Revision: p.Revision},
-			{What: EndpointJoined, Endpoint: p, Revision: p.Revision},
+			{Kind: EndpointGone, Endpoint: before, Revision: p.Revision},
+			{Kind: EndpointJoined, Endpoint: p, Revision: p.Revision},
 		}
 	}
 	wasMissing, wasDenied := h.missing, h.denied
@@ -351,13 +351,13 @@
 	d.setMissing(h, false)
 	d.replace(h, p)
 	if before.State != p.State {
-		return []Change{{What: EndpointLeaving, Endpoint: p, Revision: p.Revision}}
+		return []Change{{Kind: EndpointLeaving, Endpoint: p, Revision: p.Revision}}
 	}
 	before.Revision = p.Revision
 	if before == p && !wasMissing && wasDenied == h.denied {
 		return nil
 	}
-	return []Change{{What: EndpointChanged, Endpoint: p, Revision: p.Revision}}
+	return []Change{{Kind: EndpointChanged, Endpoint: p, Revision: p.Revision}}
 }
 
 // applyRemoval applies the removal of an entry. While the store is settling, a ready endpoint
@@ -374,7 +374,7 @@
 	if d.state(h) == Ready && d.settling(now) {
 		if !h.missing {
 			d.setMissing(h, true)
-			return []Change{{What: EndpointMissing, Endpoint: *h.endpoint, Revision: e.Revision}}
+			return []Change{{Kind: EndpointMissing, Endpoint: *h.endpoint, Revision: e.Revision}}
 		}
 		return nil
 	}
@@ -385,7 +385,7 @@
 func (d *Directory) removeEndpoint(h *record, revision int64) []Change {
 	d.discard(h)
 	d.recordRemoval(Removed{Entry: h.endpoint.entry(), Revision: revision})
-	return []Change{{What: EndpointGone, Endpoint: *h.endpoint, Revision: revision}}
+	return []Change{{Kind: EndpointGone, Endpoint: *h.endpoint, Revision: revision}}
 }
 
 // recordRemoval records that an entry was removed, so that no older fact restores it.
@@ -410,7 +410,7 @@
 	}
 	h.denied = true
 	d.updateIndex(h)
-	return []Change{{What: EndpointDenied, Endpoint: *h.endpoint, Revision: h.endpoint.Revision}}
+	return []Change{{Kind: EndpointDenied, Endpoint: *h.endpoint, Revision: h.endpoint.Revision}}
 }
 
 // find returns the record of the incarnation with an ID if it is the current one, or nil.
@@ -515,8 +515,8 @@
 // publish makes a view of the current facts available to readers.
 func (d *Directory) publish() {
 	v := d.index.view()
-	v.Table, v.TableRev, v.Revision = d.table, d.tableRev, d.revision
-	v.Leaving, v.Doubtful = d.leavingByService(), d.missing > 0
+	v.Table, v.TableRevision, v.Revision = d.table, d.tableRev, d.revision
+	v.Leaving, v.Uncertain = d.leavingByService(), d.missing > 0
 	zones, digest := d.evacuatedZones()
 	v.Evacuated, v.Digest = zones, d.digest^digest
 	d.view.Store(v)
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -40,7 +40,7 @@
 	d.Apply(0, directory.Listed{Endpoints: []directory.Endpoint{endpoint("e1", 1), endpoint("e2", 2)}, Revision: 2})
 	changes := d.Apply(10, directory.Listed{Endpoints: []directory.Endpoint{endpoint("e2", 2)}, Revision: 5})
 	c.Assert(changes, qt.HasLen, 1)
-	c.Assert(changes[0].What, qt.Equals, directory.EndpointGone)
+	c.Assert(changes[0].Kind, qt.Equals, directory.EndpointGone)
 	c.Assert(ids(d), qt.DeepEquals, map[string]bool{"e2": true})
 }
 
@@ -98,7 +98,7 @@
 	d := directory.New()
 	d.Apply(0, directory.Seen{Endpoint: endpoint("e1", 1)})
 	d.Apply(10, directory.StoreLost{})
-	d.Apply(20, directory.Relayed{Whole: true, Endpoints: []directory.Endpoint{endpoint("e2", 4)}, Revision: 6})
+	d.Apply(20, directory.PeerUpdate{Complete: true, Endpoints: []directory.Endpoint{endpoint("e2", 4)}, Revision: 6})
 	qt.Assert(t, ids(d), qt.DeepEquals, map[string]bool{"e2": true})
 }
 
@@ -131,7 +131,7 @@
 	d := directory.New()
 	d.Apply(0, directory.Seen{Endpoint: endpoint("e1", 3)})
 	d.Apply(1, directory.Removed{Entry: "e1", Revision: 5})
-	d.Apply(2, directory.Relayed{Whole: true, Endpoints: []directory.Endpoint{endpoint("e1", 3)}, Revision: 4})
+	d.Apply(2, directory.PeerUpdate{Complete: true, Endpoints: []directory.Endpoint{endpoint("e1", 3)}, Revision: 4})
 	qt.Assert(t, ids(d), qt.HasLen, 0)
 	d.Apply(3, directory.Seen{Endpoint: endpoint("e1", 7)})
 	qt.Assert(t, ids(d)["e1"], qt.IsTrue)
@@ -173,7 +173,7 @@
 	case 1:
 		return directory.Listed{Endpoints: []directory.Endpoint{endpoint(id, min(revision, 20))}, Revision: revision}
 	case 2:
-		return directory.Relayed{Whole: rapid.Bool().Draw(rt, "whole"), Endpoints: []directory.Endpoint{endpoint(id, min(revision, 20))}, Revision: revision}
+		return directory.PeerUpdate{Complete: rapid.Bool().Draw(rt, "whole"), Endpoints: []directory.Endpoint{endpoint(id, min(revision, 20))}, Revision: revision}
 	case 3:
 		return directory.Removed{Entry: id, Revision: revision}
 	case 4:
@@ -198,7 +198,7 @@
 	}
 	changes := d.Apply(10, directory.Denied{ID: "e1"})
 	c.Assert(changes, qt.HasLen, 1)
-	c.Assert(changes[0].What, qt.Equals, directory.EndpointDenied)
+	c.Assert(changes[0].Kind, qt.Equals, directory.EndpointDenied)
 	c.Assert(d.Apply(11, directory.Denied{ID: "e1"}), qt.HasLen, 0)
 	c.Assert(ids(d), qt.DeepEquals, map[string]bool{"e2": true})
 	c.Assert(d.View().Digest, qt.Equals, other.View().Digest)
@@ -225,8 +225,8 @@
 		d.Apply(30, directory.Removed{Entry: "e1", Revision: 5})
 		d.Apply(30, directory.Seen{Endpoint: endpoint("e3", 6)})
 	}
-	c.Assert(doubting.View().Doubtful, qt.IsTrue)
-	c.Assert(certain.View().Doubtful, qt.IsFalse)
+	c.Assert(doubting.View().Uncertain, qt.IsTrue)
+	c.Assert(certain.View().Uncertain, qt.IsFalse)
 	third.Apply(40, doubting.Since(2, 0))
 	update := certain.Since(6, 0)
 	third.Apply(50, update)
--- a/internal/directory/evacuation.go
+++ b/internal/directory/evacuation.go
@@ -25,7 +25,7 @@
 			d.updateIndex(h)
 		}
 	}
-	return []Change{{What: what, Zone: e.Zone, Revision: e.Revision}}
+	return []Change{{Kind: what, Zone: e.Zone, Revision: e.Revision}}
 }
 
 // applyAllEvacuations applies the complete list of evacuations at a revision. Operators'
--- a/internal/directory/event.go
+++ b/internal/directory/event.go
@@ -14,18 +14,18 @@
 // Listed holds all endpoints and all evacuated zones, complete up to Revision.
 type Listed struct {
 	Endpoints []Endpoint
-	// Present are the entries of endpoints that earlier events have brought.
-	Present     []string
-	Evacuations []Evacuation
-	Revision    int64
+	// PresentEntries are the entries of endpoints that earlier events have brought.
+	PresentEntries []string
+	Evacuations    []Evacuation
+	Revision       int64
 }
 
-// Relayed holds what a peer sent in response to a request: everything if Whole, else what
+// PeerUpdate holds what a peer sent in response to a request: everything if Whole, else what
 // changed and what is gone, up to Revision.
-type Relayed struct {
-	Whole       bool
+type PeerUpdate struct {
+	Complete    bool
 	Endpoints   []Endpoint
-	Gone        []Removed
+	Removed     []Removed
 	Evacuations []Evacuation
 	Revision    int64
 	Digest      uint64 // of the peer's view at Revision; 0 if the response is not complete
@@ -67,7 +67,7 @@
 
 func (Configured) event()   {}
 func (Listed) event()       {}
-func (Relayed) event()      {}
+func (PeerUpdate) event()   {}
 func (Seen) event()         {}
 func (Removed) event()      {}
 func (Evacuation) event()   {}
@@ -77,26 +77,26 @@
 func (StoreReached) event() {}
 func (Tick) event()         {}
 
-// What names a kind of change, as log lines show it.
-type What string
+// ChangeKind names a kind of change, as log lines show it.
+type ChangeKind string
 
 // Kinds of changes.
 const (
-	ConfigurationChanged What = "configuration_changed"
-	EndpointJoined       What = "endpoint_joined"
-	EndpointChanged      What = "endpoint_changed"
-	EndpointLeaving      What = "endpoint_leaving"
-	EndpointSaysLeaving  What = "endpoint_says_leaving" // in an answer
-	EndpointMissing      What = "endpoint_missing"
-	EndpointGone         What = "endpoint_gone"
-	EndpointDenied       What = "endpoint_denied"
-	ZoneEvacuated        What = "zone_evacuated"
-	ZoneRestored         What = "zone_restored"
+	ConfigurationChanged ChangeKind = "configuration_changed"
+	EndpointJoined       ChangeKind = "endpoint_joined"
+	EndpointChanged      ChangeKind = "endpoint_changed"
+	EndpointLeaving      ChangeKind = "endpoint_leaving"
+	EndpointSaysLeaving  ChangeKind = "endpoint_says_leaving" // in an answer
+	EndpointMissing      ChangeKind = "endpoint_missing"
+	EndpointGone         ChangeKind = "endpoint_gone"
+	EndpointDenied       ChangeKind = "endpoint_denied"
+	ZoneEvacuated        ChangeKind = "zone_evacuated"
+	ZoneRestored         ChangeKind = "zone_restored"
 )
 
 // Change is one change of the view.
 type Change struct {
-	What     What
+	Kind     ChangeKind
 	Endpoint Endpoint // of endpoint changes
 	Zone     string   // of evacuations
 	Version  int64    // of configuration changes
--- a/internal/directory/incarnation_test.go
+++ b/internal/directory/incarnation_test.go
@@ -13,7 +13,7 @@
 
 // incarnation returns an endpoint's entry as one of its incarnations wrote it.
 func incarnation(born, revision int64) directory.Endpoint {
-	return directory.Endpoint{Entry: "e1", Service: "web", Zone: "a", Slots: 8, Revision: revision}.Live(born)
+	return directory.Endpoint{Entry: "e1", Service: "web", Zone: "a", Slots: 8, Revision: revision}.WithStart(born)
 }
 
 // currentIDs returns the IDs of a service's endpoints in the view.
@@ -53,7 +53,7 @@
 			"a peer sends the later one at a lower revision",
 			[]directory.Event{
 				directory.Seen{Endpoint: incarnation(1000, 9)},
-				directory.Relayed{Endpoints: []directory.Endpoint{incarnation(2000, 7)}, Revision: 9},
+				directory.PeerUpdate{Endpoints: []directory.Endpoint{incarnation(2000, 7)}, Revision: 9},
 			},
 			[]string{second},
 		},
@@ -61,7 +61,7 @@
 			"a peer sends the earlier one",
 			[]directory.Event{
 				directory.Seen{Endpoint: incarnation(2000, 7)},
-				directory.Relayed{Endpoints: []directory.Endpoint{incarnation(1000, 9)}, Revision: 9},
+				directory.PeerUpdate{Endpoints: []directory.Endpoint{incarnation(1000, 9)}, Revision: 9},
 			},
 			[]string{second},
 		},
@@ -95,10 +95,10 @@
 	d.Apply(1, directory.Seen{Endpoint: incarnation(1000, 5)})
 	changes := d.Apply(2, directory.Seen{Endpoint: incarnation(2000, 7)})
 	c.Assert(changes, qt.HasLen, 2)
-	c.Check(changes[0].What, qt.Equals, directory.EndpointGone)
-	c.Check(changes[0].Endpoint.Born, qt.Equals, int64(1000))
-	c.Check(changes[1].What, qt.Equals, directory.EndpointJoined)
-	c.Check(changes[1].Endpoint.Born, qt.Equals, int64(2000))
+	c.Check(changes[0].Kind, qt.Equals, directory.EndpointGone)
+	c.Check(changes[0].Endpoint.StartedAt, qt.Equals, int64(1000))
+	c.Check(changes[1].Kind, qt.Equals, directory.EndpointJoined)
+	c.Check(changes[1].Endpoint.StartedAt, qt.Equals, int64(2000))
 }
 
 // A planner may name an endpoint that this instance does not know yet, but an outdated one
@@ -125,7 +125,7 @@
 			for n, e := range test.known {
 				d.Apply(clock.Millis(n), e)
 			}
-			qt.Assert(t, d.Refutes(test.endpoint), qt.Equals, test.want)
+			qt.Assert(t, d.Supersedes(test.endpoint), qt.Equals, test.want)
 		})
 	}
 }
@@ -137,7 +137,7 @@
 	e := directory.Endpoint{
 		Entry: "i-0cfe18b5aa", Service: "member-assist", Zone: "centurion-c", Slots: 16, Stage: directory.Decode,
 		Address: netip.MustParseAddrPort("10.2.67.177:8568"), Revision: 123_456,
-	}.Live(0)
+	}.WithStart(0)
 	data, err := cbor.Marshal(e)
 	c.Assert(err, qt.IsNil)
 	c.Check(len(data) <= 100, qt.IsTrue, qt.Commentf("%d bytes", len(data)))
--- a/internal/directory/leaving.go
+++ b/internal/directory/leaving.go
@@ -25,7 +25,7 @@
 		d.leaving[e.ID] = leavingMark{entry: known.entry, confirmedAt: now}
 		return nil
 	}
-	change := Change{What: EndpointSaysLeaving, Endpoint: Endpoint{ID: e.ID}, Revision: d.revision}
+	change := Change{Kind: EndpointSaysLeaving, Endpoint: Endpoint{ID: e.ID}, Revision: d.revision}
 	mark := leavingMark{confirmedAt: now}
 	h := d.find(e.ID)
 	if h != nil {
--- a/internal/directory/leaving_test.go
+++ b/internal/directory/leaving_test.go
@@ -48,7 +48,7 @@
 			[]directory.Event{
 				directory.Seen{Endpoint: incarnation(1000, 5)},
 				leaving,
-				directory.Relayed{Whole: true, Endpoints: []directory.Endpoint{incarnation(1000, 5)}, Revision: 9},
+				directory.PeerUpdate{Complete: true, Endpoints: []directory.Endpoint{incarnation(1000, 5)}, Revision: 9},
 			},
 			nil,
 		},
@@ -76,11 +76,11 @@
 	d.Apply(10, directory.StoreLost{})
 	changes := d.Apply(20, directory.Leaving{ID: incarnation(1000, 5).ID})
 	c.Assert(changes, qt.HasLen, 1)
-	c.Assert(changes[0].What, qt.Equals, directory.EndpointSaysLeaving)
+	c.Assert(changes[0].Kind, qt.Equals, directory.EndpointSaysLeaving)
 	c.Assert(changes[0].Endpoint.Service, qt.Equals, "web")
 	c.Assert(d.Apply(30, directory.Leaving{ID: incarnation(1000, 5).ID}), qt.HasLen, 0)
 	c.Assert(d.View().Leaving["web"], qt.DeepEquals, []string{incarnation(1000, 5).ID})
-	c.Assert(d.Refutes(incarnation(1000, 5)), qt.IsTrue)
+	c.Assert(d.Supersedes(incarnation(1000, 5)), qt.IsTrue)
 	d.Apply(40, directory.Removed{Entry: "e1", Revision: 6})
 	c.Assert(currentIDs(d), qt.HasLen, 0)
 }
@@ -94,11 +94,11 @@
 	d.Apply(0, directory.Seen{Endpoint: e})
 	d.Apply(1, directory.Leaving{ID: e.ID})
 	d.Apply(2*hour, directory.Tick{})
-	c.Assert(d.Refutes(e), qt.IsTrue) // its entry still exists
+	c.Assert(d.Supersedes(e), qt.IsTrue) // its entry still exists
 	d.Apply(2*hour, directory.Removed{Entry: "e1", Revision: 6})
 	e.Revision = 8
 	d.Apply(3*hour, directory.Tick{})
-	c.Assert(d.Refutes(e), qt.IsTrue)
+	c.Assert(d.Supersedes(e), qt.IsTrue)
 	d.Apply(3*hour+1, directory.Tick{})
-	c.Assert(d.Refutes(e), qt.IsFalse)
+	c.Assert(d.Supersedes(e), qt.IsFalse)
 }
--- a/internal/directory/view.go
+++ b/internal/directory/view.go
@@ -13,15 +13,15 @@
 // share what did not change, so that the cost of a new view depends on the change and not
 // on the size of the fleet.
 type View struct {
-	Table    *route.Table // nil while no configuration is known
-	Revision int64        // up to which this view is complete
-	TableRev int64        // of the store, when Table was written
-	Digest   uint64       // of the IDs and revisions in the store, and of the evacuations
+	Table         *route.Table // nil while no configuration is known
+	Revision      int64        // up to which this view is complete
+	TableRevision int64        // of the store, when Table was written
+	Digest        uint64       // of the IDs and revisions in the store, and of the evacuations
 	// Leaving are, by service, the IDs of endpoints whose leaving is known only from their
 	// answers to this instance. Other instances may take them for ready.
 	Leaving   map[string][]string
 	Evacuated map[string]bool // zones
-	Doubtful  bool            // endpoints may be missing in the store only because it was out of reach
+	Uncertain bool            // endpoints may be missing in the store only because it was out of reach
 	Ready     int             // number of endpoints that take requests
 
 	byID       *btree.Map[string, *Endpoint]
--- a/internal/directory/view_test.go
+++ b/internal/directory/view_test.go
@@ -20,7 +20,7 @@
 		Entry: fmt.Sprintf("i-%06d", n), Service: "llm", Zone: fmt.Sprintf("zone-%d", n%5), Slots: 12, Revision: revision,
 		Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(n >> 16), byte(n >> 8), byte(n)}), 8080),
 	}
-	return e.Live(int64(1_700_000_000_000 + n))
+	return e.WithStart(int64(1_700_000_000_000 + n))
 }
 
 // bigDirectory returns a directory with a number of endpoints.
@@ -67,7 +67,7 @@
 		for n := range 10 {
 			d.Apply(1, directory.Seen{Endpoint: fleetEndpoint(n, int64(endpoints+n+1))})
 		}
-		var update directory.Relayed
+		var update directory.PeerUpdate
 		bytes := allocated(func() { update = d.Since(int64(endpoints), 0) })
 		qt.Assert(t, update.Endpoints, qt.HasLen, 10)
 		return bytes
@@ -89,7 +89,7 @@
 			update := d.Since(revision, limit)
 			c.Assert(limit == 0 || len(update.Endpoints) <= limit, qt.IsTrue)
 			c.Assert(update.Revision > revision, qt.IsTrue)
-			c.Assert(update.Whole, qt.Equals, revision == 0 && !update.More)
+			c.Assert(update.Complete, qt.Equals, revision == 0 && !update.More)
 			other.Apply(0, update)
 			revision, parts = update.Revision, parts+1
 			if !update.More {
@@ -134,7 +134,7 @@
 				Entry:   rapid.SampledFrom([]string{"e1", "e2", "e3", "e4"}).Draw(rt, "entry"),
 				Service: rapid.SampledFrom([]string{"web", "llm"}).Draw(rt, "service"),
 				Zone:    rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "zone"), Revision: int64(step + 1),
-			}.Live(rapid.Int64Range(0, 2).Draw(rt, "born"))
+			}.WithStart(rapid.Int64Range(0, 2).Draw(rt, "born"))
 			event := rapid.SampledFrom([]directory.Event{
 				directory.Seen{Endpoint: e},
 				directory.Seen{Endpoint: e},
--- a/internal/dispatcher/cancels.go
+++ b/internal/dispatcher/cancels.go
@@ -22,7 +22,7 @@
 				continue
 			}
 			d.each(func(r *activeCell) {
-				d.apply(r, cell.Cancelled{Endpoint: e.Endpoint, Attempt: e.Attempt, Known: known})
+				d.apply(r, cell.Cancelled{Endpoint: e.Endpoint, Attempt: e.Attempt, Freed: known})
 			})
 		}
 	}
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -43,13 +43,13 @@
 
 // Options are the settings and dependencies of a dispatcher.
 type Options struct {
-	Cell    cell.Options
-	Listing time.Duration
-	Node    string
-	Zone    string
-	Now     func() clock.Millis
-	// Mine reports whether this process is the dispatcher of a cell.
-	Mine func(catalog.Cell) bool
+	Cell           cell.Options
+	ReportInterval time.Duration
+	Node           string
+	Zone           string
+	Now            func() clock.Millis
+	// IsDispatcher reports whether this process is the dispatcher of a cell.
+	IsDispatcher func(catalog.Cell) bool
 }
 
 // Dispatcher runs cells. Lock order: first the Dispatcher, then a single cell.
@@ -88,7 +88,7 @@
 
 // Register adds the handlers for messages from entries.
 func (d *Dispatcher) Register(r *message.Router) {
-	peer.Handle(r, d.transport, TopicAsk, func(_ peer.Sender, a cell.Ask) {
+	peer.Handle(r, d.transport, TopicAsk, func(_ peer.Sender, a cell.AttemptRequest) {
 		if c := d.findCell(a.Cell); c != nil {
 			d.apply(c, a)
 			return
@@ -100,7 +100,7 @@
 			d.apply(c, p)
 		}
 	})
-	peer.Handle(r, d.transport, TopicAnnounce, func(_ peer.Sender, a cell.Announce) {
+	peer.Handle(r, d.transport, TopicAnnounce, func(_ peer.Sender, a cell.Announcement) {
 		if c := d.findCell(a.Cell); c != nil {
 			d.apply(c, a)
 		}
@@ -130,7 +130,7 @@
 		group.Go(func() { d.cancelLoop(ctx) })
 	}
 	group.Go(func() { d.ticker.Run(ctx, d.tick) })
-	group.Go(func() { ticker.Every(ctx, d.options.Listing, func() { d.readReports(ctx) }) })
+	group.Go(func() { ticker.Every(ctx, d.options.ReportInterval, func() { d.readReports(ctx) }) })
 	group.Wait()
 }
 
@@ -142,7 +142,7 @@
 	defer d.mu.Unlock()
 	for name := range d.layout {
 		_, running := d.cells[name]
-		if local := d.options.Mine(name); local && !running {
+		if local := d.options.IsDispatcher(name); local && !running {
 			d.startCell(name)
 		} else if !local && running {
 			d.stopCell(name)
@@ -174,7 +174,7 @@
 	waiting := r.cell.Waiting(d.options.Now())
 	r.mu.Unlock()
 	for _, w := range waiting {
-		d.send(w.Ask.Owner.Address, TopicRefusal, cell.Refusal{Attempt: w.Ask.Attempt, Reason: cell.ReasonMoved})
+		d.send(w.Request.Owner.Address, TopicRefusal, cell.Refusal{Attempt: w.Request.Attempt, Reason: cell.ReasonMoved})
 	}
 }
 
@@ -182,16 +182,16 @@
 func (d *Dispatcher) Statuses() []member.CellStatus {
 	now := d.options.Now()
 	var all []member.CellStatus
-	d.Each(func(name catalog.Cell, c *cell.Cell) {
+	d.ForEachCell(func(name catalog.Cell, c *cell.Cell) {
 		all = append(all, member.CellStatus{
-			Cell: name, Node: d.options.Node, Address: d.transport.Address(), Stamp: now, Digest: c.Digest(now),
+			Cell: name, Node: d.options.Node, Address: d.transport.Address(), Stamp: now, Headroom: c.Headroom(now),
 		})
 	})
 	return all
 }
 
-// Each calls fn for every cell with the lock of that cell held.
-func (d *Dispatcher) Each(fn func(catalog.Cell, *cell.Cell)) {
+// ForEachCell calls fn for every cell with the lock of that cell held.
+func (d *Dispatcher) ForEachCell(fn func(catalog.Cell, *cell.Cell)) {
 	d.each(func(r *activeCell) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
--- a/internal/dispatcher/reports.go
+++ b/internal/dispatcher/reports.go
@@ -26,7 +26,7 @@
 		endpoints := r.cell.Endpoints()
 		interval := max(minReportInterval, time.Duration(len(endpoints))*time.Second/maxReportsPerSecond)
 		for _, status := range endpoints {
-			due := status.Urgent || now.Sub(r.lastRead[status.Name]) >= interval
+			due := status.NeedsReport || now.Sub(r.lastRead[status.Name]) >= interval
 			if !due || r.reading[status.Name] {
 				continue
 			}
@@ -54,5 +54,5 @@
 		d.apply(r, cell.Unreachable{Endpoint: m.Name})
 		return
 	}
-	d.apply(r, cell.Reported{Endpoint: m.Name, Report: report, Began: startedAt})
+	d.apply(r, cell.Reported{Endpoint: m.Name, Report: report, RequestedAt: startedAt})
 }
--- a/internal/endpoint/client.go
+++ b/internal/endpoint/client.go
@@ -52,9 +52,9 @@
 
 // Client calls endpoints over HTTP.
 type Client struct {
-	// Heard is called with the notice in the header of each response. good reports whether
+	// OnNotice is called with the notice in the header of each response. good reports whether
 	// the response was successful, sent is when the request was sent.
-	Heard func(at netip.AddrPort, n notice.Notice, good bool, sent time.Time)
+	OnNotice func(at netip.AddrPort, n notice.Notice, good bool, sent time.Time)
 
 	pooled *http.Client // reuses connections
 	// unpooled opens a connection for each call, so that a failure to connect proves that
@@ -66,7 +66,7 @@
 // NewClient returns a client with its own connection pool.
 func NewClient() *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
-	c := &Client{dialer: dialer, Heard: func(netip.AddrPort, notice.Notice, bool, time.Time) {}}
+	c := &Client{dialer: dialer, OnNotice: func(netip.AddrPort, notice.Notice, bool, time.Time) {}}
 	c.pooled = &http.Client{Transport: noticeTransport{c, &http.Transport{
 		DialContext: dialer.DialContext, MaxIdleConnsPerHost: maxIdlePerHost,
 		IdleConnTimeout: idleTimeout, DisableCompression: true,
@@ -91,7 +91,7 @@
 		return nil, err
 	}
 	if at, err := netip.ParseAddrPort(r.URL.Host); err == nil { // the host is always an address
-		t.client.Heard(at, readNotice(resp), resp.StatusCode < http.StatusMultipleChoices, sent)
+		t.client.OnNotice(at, readNotice(resp), resp.StatusCode < http.StatusMultipleChoices, sent)
 	}
 	return resp, nil
 }
@@ -99,14 +99,14 @@
 func readNotice(r *http.Response) notice.Notice {
 	n := notice.Notice{Leaving: r.Header.Get(headerLeaving) == "1", Limit: notice.ParseLimit(r.Header.Get(headerLimit))}
 	if r.StatusCode == http.StatusTooManyRequests || r.StatusCode == http.StatusServiceUnavailable {
-		n.Rest = notice.ReadRest(r.Header)
+		n.Backoff = notice.ParseRetryAfter(r.Header)
 	}
 	return n
 }
 
-// Ended reports whether the endpoint's process has ended, that is, whether its host refuses
+// ProcessEnded reports whether the endpoint's process has ended, that is, whether its host refuses
 // connections to its port. A host that does not respond proves nothing.
-func (c *Client) Ended(ctx context.Context, at netip.AddrPort) bool {
+func (c *Client) ProcessEnded(ctx context.Context, at netip.AddrPort) bool {
 	conn, err := c.dialer.DialContext(ctx, "tcp", at.String())
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
@@ -174,7 +174,7 @@
 func (c *Client) Cancel(ctx context.Context, to netip.AddrPort, attempt string) (known bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
-	resp, err := c.post(ctx, c.pooled, to, "/cancel", Held{Attempt: attempt})
+	resp, err := c.post(ctx, c.pooled, to, "/cancel", HeldAttempt{Attempt: attempt})
 	if err != nil {
 		return false, err
 	}
@@ -224,8 +224,8 @@
 	Once    bool // the call must not be repeated
 }
 
-// Answer is a plain service's complete response.
-type Answer struct {
+// Response is a plain service's complete response.
+type Response struct {
 	Status int         `cbor:"1,keyasint"`
 	Header http.Header `cbor:"2,keyasint"`
 	Body   []byte      `cbor:"3,keyasint"`
@@ -233,11 +233,11 @@
 
 // Call sends a request to a plain service and reads the whole response. A call that must
 // not be repeated is sent once, on a connection of its own.
-func (c *Client) Call(ctx context.Context, to netip.AddrPort, call Call) (Answer, error) {
+func (c *Client) Call(ctx context.Context, to netip.AddrPort, call Call) (Response, error) {
 	url := "http://" + to.String() + "/call/" + call.Path
 	req, err := http.NewRequestWithContext(ctx, call.Method, url, bytes.NewReader(call.Body))
 	if err != nil {
-		return Answer{}, wrapError(ErrNotRun, err)
+		return Response{}, wrapError(ErrNotRun, err)
 	}
 	req.Header = call.Header.Clone()
 	req.Header.Set("X-Attempt", call.Attempt)
@@ -248,17 +248,17 @@
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return Answer{}, sendError(err)
+		return Response{}, sendError(err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode == http.StatusTooManyRequests && resp.Header.Get("Not-Run") != "" {
-		return Answer{}, wrapError(ErrNotRun, errors.New(resp.Status))
+		return Response{}, wrapError(ErrNotRun, errors.New(resp.Status))
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return Answer{}, wrapError(ErrMayHaveRun, err)
+		return Response{}, wrapError(ErrMayHaveRun, err)
 	}
-	return Answer{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
+	return Response{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
 }
 
 func (c *Client) post(ctx context.Context, client *http.Client, to netip.AddrPort, path string, v any) (*http.Response, error) {
--- a/internal/endpoint/wire.go
+++ b/internal/endpoint/wire.go
@@ -34,8 +34,8 @@
 	Total int    `json:"total,omitempty"` // tokens of the whole response; set if Done
 }
 
-// Held is an attempt for which an endpoint holds memory.
-type Held struct {
+// HeldAttempt is an attempt for which an endpoint holds memory.
+type HeldAttempt struct {
 	Attempt string `json:"attempt"`
 	Phase   string `json:"phase"` // waiting, prefill, kv, transfer, decode or call
 }
@@ -60,9 +60,9 @@
 
 // Report combines an endpoint's held attempts, load and cache events.
 type Report struct {
-	Held   []Held       `json:"held"`
-	Load   Load         `json:"load"`
-	Events []CacheEvent `json:"events"`
+	Held   []HeldAttempt `json:"held"`
+	Load   Load          `json:"load"`
+	Events []CacheEvent  `json:"events"`
 }
 
 // Order changes what an endpoint serves. Fence must not be lower than that of any earlier
--- a/internal/entry/admit.go
+++ b/internal/entry/admit.go
@@ -29,13 +29,13 @@
 	var otherZones []member.CellStatus
 	for _, s := range e.options.Cells() {
 		status[s.Cell] = s
-		if s.Cell.Serves == serves && s.Cell.Zone != e.options.Zone && s.Digest.Free > 0 {
+		if s.Cell.Serves == serves && s.Cell.Zone != e.options.Zone && s.Headroom.Free > 0 {
 			otherZones = append(otherZones, s)
 		}
 	}
 	ownZone := slices.Clone(e.options.Catalog().CellsOf(e.options.Zone, serves))
 	rand.Shuffle(len(ownZone), func(i, j int) { ownZone[i], ownZone[j] = ownZone[j], ownZone[i] })
-	if len(ownZone) >= 2 && status[ownZone[1]].Digest.Free > status[ownZone[0]].Digest.Free {
+	if len(ownZone) >= 2 && status[ownZone[1]].Headroom.Free > status[ownZone[0]].Headroom.Free {
 		ownZone[0], ownZone[1] = ownZone[1], ownZone[0]
 	}
 	var list []candidate
@@ -45,7 +45,7 @@
 		}
 	}
 	rand.Shuffle(len(otherZones), func(i, j int) { otherZones[i], otherZones[j] = otherZones[j], otherZones[i] })
-	slices.SortStableFunc(otherZones, func(a, b member.CellStatus) int { return b.Digest.Free - a.Digest.Free })
+	slices.SortStableFunc(otherZones, func(a, b member.CellStatus) int { return b.Headroom.Free - a.Headroom.Free })
 	for _, s := range otherZones[:min(len(otherZones), 2)] {
 		list = append(list, candidate{cell: s.Cell, address: s.Address})
 	}
@@ -76,7 +76,7 @@
 
 func (e *Entry) newAttempt(ctx context.Context, r *request, to candidate, id cell.AttemptID) *attempt {
 	a := &attempt{tbt: r.class.TBT, answer: make(chan any, 4)}
-	a.ask = cell.Ask{
+	a.ask = cell.AttemptRequest{
 		Cell: to.cell, Attempt: id, Request: r.ID, Owner: e.options.Owner, Workspace: r.Workspace,
 		Kind: r.Kind, Class: r.workspace.Class, Tokens: r.Tokens, Blocks: r.Blocks,
 		MaxTokens: r.MaxTokens, Budget: r.remaining(), Avoid: slices.Concat(r.avoid, e.unavailableEndpoints()), Retry: r.possibleRuns > 0,
@@ -127,7 +127,7 @@
 				}
 				time.Sleep(movedRetryDelay)
 				e.resendAsk(r, a, to)
-			case cell.Unknown:
+			case cell.UnknownAttempts:
 				e.resendAsk(r, a, to)
 			}
 		case <-ctx.Done():
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -13,7 +13,7 @@
 
 // attempt is one attempt at running a request, from the ask to its end.
 type attempt struct {
-	ask    cell.Ask
+	ask    cell.AttemptRequest
 	tbt    time.Duration
 	answer chan any // cell.Grant, cell.Refusal or cell.Unknown
 	ctx    context.Context
@@ -27,10 +27,10 @@
 }
 
 // running returns what announcements say of the attempt and whether it was granted.
-func (a *attempt) running() (cell.Running, bool) {
+func (a *attempt) running() (cell.AnnouncedAttempt, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return cell.Running{
+	return cell.AnnouncedAttempt{
 		Attempt: a.ask.Attempt, Phase: a.phase, Prefill: a.grant.Prefill, Decode: a.grant.Decode,
 		Workspace: a.ask.Workspace, Kind: a.ask.Kind, Tokens: a.ask.Tokens, TBT: a.tbt,
 	}, a.granted
@@ -91,34 +91,34 @@
 
 // announcements returns one announcement for each cell that has attempts or had one
 // within cellIdleTimeout.
-func (as *attempts) announcements(now clock.Millis, owner cell.Owner) []cell.Announce {
+func (as *attempts) announcements(now clock.Millis, owner cell.Owner) []cell.Announcement {
 	as.mu.Lock()
 	defer as.mu.Unlock()
-	byCell := map[catalog.Cell]*cell.Announce{}
+	byCell := map[catalog.Cell]*cell.Announcement{}
 	for name, used := range as.lastUsed {
 		if now.Sub(used) > cellIdleTimeout {
 			delete(as.lastUsed, name)
 			continue
 		}
-		byCell[name] = &cell.Announce{Cell: name, Owner: owner}
+		byCell[name] = &cell.Announcement{Cell: name, Owner: owner}
 	}
 	for _, a := range as.all {
 		as.lastUsed[a.ask.Cell] = now
 		announcement, ok := byCell[a.ask.Cell]
 		if !ok {
-			announcement = &cell.Announce{Cell: a.ask.Cell, Owner: owner}
+			announcement = &cell.Announcement{Cell: a.ask.Cell, Owner: owner}
 			byCell[a.ask.Cell] = announcement
 		}
 		run, granted := a.running()
 		switch {
-		case run.Phase.Over():
+		case run.Phase.Ended():
 		case granted:
 			announcement.Running = append(announcement.Running, run)
 		default:
 			announcement.Waiting = append(announcement.Waiting, a.ask.Attempt)
 		}
 	}
-	all := make([]cell.Announce, 0, len(byCell))
+	all := make([]cell.Announcement, 0, len(byCell))
 	for _, announcement := range byCell {
 		all = append(all, *announcement)
 	}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -34,13 +34,13 @@
 
 // Options are the settings and dependencies of an entry.
 type Options struct {
-	Owner       cell.Owner
-	Zone        string
-	Announce    time.Duration
-	OwnerExpiry time.Duration
-	HeldAnswers int
-	Now         func() clock.Millis
-	Catalog     func() *catalog.Catalog
+	Owner            cell.Owner
+	Zone             string
+	AnnounceInterval time.Duration
+	OwnerExpiry      time.Duration
+	MaxHeldAnswers   int
+	Now              func() clock.Millis
+	Catalog          func() *catalog.Catalog
 	// Dispatcher returns the address of the process that dispatches a cell of the own zone.
 	Dispatcher func(catalog.Cell) (netip.AddrPort, bool)
 	// Cells lists the known cells with their free capacity.
@@ -48,7 +48,7 @@
 	// Status returns the status of one known cell.
 	Status func(catalog.Cell) (member.CellStatus, bool)
 	// Claim and Abandon take and release the claims of requests that may not be repeated.
-	Claim   func(ctx context.Context, c claim.Claim, wait time.Duration) claim.Answer
+	Claim   func(ctx context.Context, c claim.Claim, wait time.Duration) claim.Result
 	Abandon func(c claim.Claim)
 	// Suspects records which requests end the processes of endpoints that run them.
 	Suspects *suspects.Suspects
@@ -76,14 +76,14 @@
 func New(o Options, t *peer.Transport, c *endpoint.Client, scope tally.Scope) *Entry {
 	e := &Entry{
 		options: o, transport: t, client: c, scope: scope,
-		attempts: newAttempts(), held: newAnswerStore(o.HeldAnswers),
+		attempts: newAttempts(), held: newAnswerStore(o.MaxHeldAnswers),
 	}
 	e.lastAnnounced.Store(int64(o.Now()))
 	return e
 }
 
-// Attempts returns how many attempts are queued or running.
-func (e *Entry) Attempts() int { return e.attempts.count() }
+// AttemptCount returns how many attempts are queued or running.
+func (e *Entry) AttemptCount() int { return e.attempts.count() }
 
 // Register adds the handlers for messages from dispatchers and for requests of other
 // entries for held answers.
@@ -101,7 +101,7 @@
 			a.deliver(f)
 		}
 	})
-	peer.Handle(r, e.transport, dispatcher.TopicUnknown, func(_ peer.Sender, u cell.Unknown) {
+	peer.Handle(r, e.transport, dispatcher.TopicUnknown, func(_ peer.Sender, u cell.UnknownAttempts) {
 		for _, id := range u.Attempts {
 			if a := e.attempts.find(id); a != nil {
 				a.deliver(u)
@@ -114,12 +114,12 @@
 			a.cancel(errFenced)
 		}
 	})
-	peer.Answer(r, e.transport, topicHeld, e.localHeldAnswer)
+	peer.HandleCall(r, e.transport, topicHeld, e.localHeldAnswer)
 }
 
 // Run announces the attempts to their dispatchers at an interval until ctx ends.
 func (e *Entry) Run(ctx context.Context) {
-	ticker.Every(ctx, e.options.Announce, e.announce)
+	ticker.Every(ctx, e.options.AnnounceInterval, e.announce)
 }
 
 func (e *Entry) announce() {
--- a/internal/entry/held.go
+++ b/internal/entry/held.go
@@ -28,7 +28,7 @@
 // heldAnswer is the answer of one request. It is complete once done is closed.
 type heldAnswer struct {
 	done   chan struct{}
-	answer endpoint.Answer
+	answer endpoint.Response
 	ok     bool
 }
 
@@ -39,8 +39,8 @@
 
 // heldResponse contains the answer if OK is set.
 type heldResponse struct {
-	OK     bool            `cbor:"1,keyasint"`
-	Answer endpoint.Answer `cbor:"2,keyasint"`
+	OK     bool              `cbor:"1,keyasint"`
+	Answer endpoint.Response `cbor:"2,keyasint"`
 }
 
 func newAnswerStore(limit int) *answerStore {
@@ -61,7 +61,7 @@
 	return a
 }
 
-func (a *heldAnswer) end(answer endpoint.Answer, ok bool) {
+func (a *heldAnswer) end(answer endpoint.Response, ok bool) {
 	a.answer, a.ok = answer, ok
 	close(a.done)
 }
@@ -89,17 +89,17 @@
 	}
 }
 
-// Hold prepares to keep the answer of a request if its kind may not be repeated. The
+// KeepAnswer prepares to keep the answer of a request if its kind may not be repeated. The
 // caller must call end once, with the answer and whether there is one.
-func (e *Entry) Hold(request, kind string) (end func(answer endpoint.Answer, ok bool)) {
+func (e *Entry) KeepAnswer(request, kind string) (end func(answer endpoint.Response, ok bool)) {
 	if k, ok := e.options.Catalog().Kinds[kind]; !ok || k.Repeat == catalog.RepeatAllowed {
-		return func(endpoint.Answer, bool) {}
+		return func(endpoint.Response, bool) {}
 	}
 	return e.held.begin(request).end
 }
 
-// Held returns the answer of the request that owns a claim, from the entry that ran it.
-func (e *Entry) Held(ctx context.Context, c claim.Claim) (endpoint.Answer, bool) {
+// KeptAnswer returns the answer of the request that owns a claim, from the entry that ran it.
+func (e *Entry) KeptAnswer(ctx context.Context, c claim.Claim) (endpoint.Response, bool) {
 	ctx, cancel := context.WithTimeout(ctx, heldAnswerTimeout)
 	defer cancel()
 	req := heldRequest{Request: c.Request}
@@ -107,9 +107,9 @@
 		r := e.localHeldAnswer(ctx, peer.Sender{}, req)
 		return r.Answer, r.OK
 	}
-	r, err := peer.Ask[heldRequest, heldResponse](ctx, e.transport, c.Holder, topicHeld, req)
+	r, err := peer.Call[heldRequest, heldResponse](ctx, e.transport, c.Holder, topicHeld, req)
 	if err != nil {
-		return endpoint.Answer{}, false
+		return endpoint.Response{}, false
 	}
 	return r.Answer, r.OK
 }
--- a/internal/entry/outcome.go
+++ b/internal/entry/outcome.go
@@ -21,10 +21,10 @@
 // Outcome is a result with its reason and, unless the request was answered, the delay
 // after which the caller may retry.
 type Outcome struct {
-	Result     Result
-	Reason     string
-	RetryAfter time.Duration
-	Taken      *claim.Claim // claim of an earlier request with the same key
+	Result       Result
+	Reason       string
+	RetryAfter   time.Duration
+	EarlierClaim *claim.Claim // claim of an earlier request with the same key
 }
 
 // Reasons of the outcomes that the entry decides itself; all others come from dispatchers.
@@ -50,8 +50,8 @@
 // keyTaken returns the outcome of a request whose key is claimed by an earlier request.
 // This request did not run; the earlier one may have run.
 func keyTaken(c claim.Claim, digest uint64) Outcome {
-	if c.Body != digest {
+	if c.RequestDigest != digest {
 		return Outcome{Result: RefusedNotRun, Reason: reasonBodyDiffers}
 	}
-	return Outcome{Result: FailedMayHaveRun, Reason: reasonKeyTaken, Taken: &c}
+	return Outcome{Result: FailedMayHaveRun, Reason: reasonKeyTaken, EarlierClaim: &c}
 }
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -41,7 +41,7 @@
 }
 
 // Call runs a plain service request.
-func (e *Entry) Call(ctx context.Context, req Request) (answer endpoint.Answer, o Outcome) {
+func (e *Entry) Call(ctx context.Context, req Request) (answer endpoint.Response, o Outcome) {
 	o = e.serve(ctx, req, func(ctx context.Context, r *request, a *attempt) error {
 		var err error
 		answer, err = e.runCall(ctx, r, a)
@@ -59,7 +59,7 @@
 	now := e.options.Catalog()
 	r := &request{Request: req, now: e.options.Now, kind: now.Kinds[req.Kind], workspace: now.Workspaces[req.Workspace]}
 	r.class = now.Classes[r.workspace.Class]
-	done, ok := e.startRequest(r.Workspace, r.workspace.Running)
+	done, ok := e.startRequest(r.Workspace, r.workspace.MaxRunning)
 	if !ok {
 		return e.recordOutcome(r, refused(reasonLimit, defaultRetryAfter))
 	}
@@ -89,7 +89,7 @@
 		}
 		err := e.runAttempt(r, a, run)
 		if err == nil {
-			e.options.Suspects.Completed(r.work())
+			e.options.Suspects.RecordCompletion(r.work())
 			return Outcome{Result: Answered}
 		}
 		var retry bool
@@ -151,7 +151,7 @@
 		e.recordEndpointEnd(ctx, r, failed, a.addressOf(at))
 	}
 	r.avoid = append(r.avoid, at)
-	e.reportProgress(a, cell.Progress{Phase: cell.Failed, At: at})
+	e.reportProgress(a, cell.Progress{Phase: cell.Failed, FailedEndpoint: at})
 	return err
 }
 
@@ -202,7 +202,7 @@
 func (r *request) newClaim(e *Entry) claim.Claim {
 	return claim.Claim{
 		Key: claim.NewKey(r.Workspace, r.Key), Request: r.ID, Holder: e.options.Owner.Address,
-		Ends: e.options.Now().Add(r.kind.Window), Body: r.Digest,
+		ExpiresAt: e.options.Now().Add(r.kind.Window), RequestDigest: r.Digest,
 	}
 }
 
@@ -214,7 +214,7 @@
 	}
 	c := r.newClaim(e)
 	answer := e.options.Claim(ctx, c, claimTimeout)
-	switch answer.Verdict {
+	switch answer.Decision {
 	case claim.Granted:
 		if ctx.Err() != nil || e.announcementOverdue() {
 			e.options.Abandon(c)
@@ -230,9 +230,9 @@
 }
 
 // runCall sends a request to the granted endpoint of a plain service.
-func (e *Entry) runCall(ctx context.Context, r *request, a *attempt) (endpoint.Answer, error) {
+func (e *Entry) runCall(ctx context.Context, r *request, a *attempt) (endpoint.Response, error) {
 	if err := e.acquirePermit(a.grant.DecodeAddr); err != nil {
-		return endpoint.Answer{}, err
+		return endpoint.Response{}, err
 	}
 	startedAt := e.options.Now()
 	e.reportProgress(a, cell.Progress{Phase: cell.Streaming})
@@ -243,7 +243,7 @@
 	if err != nil {
 		return answer, &attemptError{at: a.grant.Decode, cause: err}
 	}
-	e.reportProgress(a, cell.Progress{Phase: cell.Finished, Took: e.options.Now().Sub(startedAt)})
+	e.reportProgress(a, cell.Progress{Phase: cell.Finished, Duration: e.options.Now().Sub(startedAt)})
 	return answer, nil
 }
 
@@ -267,7 +267,7 @@
 		return &attemptError{at: a.grant.Prefill, cause: err}
 	}
 	a.ran = true
-	e.reportProgress(a, cell.Progress{Phase: cell.Prefilled, Took: e.options.Now().Sub(startedAt), Cached: result.CachedTokens})
+	e.reportProgress(a, cell.Progress{Phase: cell.Prefilled, Duration: e.options.Now().Sub(startedAt), Cached: result.CachedTokens})
 	if e.announcementOverdue() {
 		return endpointError(endpoint.ErrMayHaveRun, errFenced)
 	}
@@ -288,14 +288,14 @@
 func (e *Entry) acquirePermit(at netip.AddrPort) error {
 	now := e.options.Now()
 	if after := e.options.Limits.Take(now, at.String()); after > 0 {
-		e.options.Notices.Take(now, at, notice.Notice{Rest: after})
+		e.options.Notices.Record(now, at, notice.Notice{Backoff: after})
 	}
 	return e.checkAvailable(at)
 }
 
 // checkAvailable returns an error if an endpoint accepts no requests at present.
 func (e *Entry) checkAvailable(at netip.AddrPort) error {
-	if !e.options.Notices.Closed(e.options.Now(), at) {
+	if !e.options.Notices.Unavailable(e.options.Now(), at) {
 		return nil
 	}
 	return endpointError(endpoint.ErrNotRun, errUnavailable)
@@ -316,7 +316,7 @@
 	}, func(t endpoint.Token) error {
 		watchdog.Reset(stallTimeout)
 		if first {
-			e.reportProgress(a, cell.Progress{Phase: cell.Streaming, Took: e.options.Now().Sub(startedAt)})
+			e.reportProgress(a, cell.Progress{Phase: cell.Streaming, Duration: e.options.Now().Sub(startedAt)})
 			startedAt, first = e.options.Now(), false
 		}
 		if err := emit(t); err != nil {
@@ -328,7 +328,7 @@
 		return nil
 	})
 	if err == nil {
-		e.reportProgress(a, cell.Progress{Phase: cell.Finished, Took: e.options.Now().Sub(startedAt), Tokens: r.sentTokens - offset})
+		e.reportProgress(a, cell.Progress{Phase: cell.Finished, Duration: e.options.Now().Sub(startedAt), Tokens: r.sentTokens - offset})
 		return nil
 	}
 	at := a.grant.Decode
--- a/internal/entry/suspect.go
+++ b/internal/entry/suspect.go
@@ -36,10 +36,10 @@
 // request that ends every endpoint that runs it must not end three more, one for each
 // attempt, each time its caller sends it.
 func (e *Entry) recordEndpointEnd(ctx context.Context, r *request, f *attemptError, at netip.AddrPort) {
-	if errors.Is(f.cause, endpoint.ErrNotRun) || ctx.Err() != nil || !e.client.Ended(ctx, at) {
+	if errors.Is(f.cause, endpoint.ErrNotRun) || ctx.Err() != nil || !e.client.ProcessEnded(ctx, at) {
 		return
 	}
 	e.scope.Counter("endpoints_ended").Inc(1)
 	interval := int64(e.options.Now()) / sameEndInterval.Milliseconds()
-	e.options.Suspects.Ended(r.work(), f.at+"@"+strconv.FormatInt(interval, 10))
+	e.options.Suspects.RecordEnd(r.work(), f.at+"@"+strconv.FormatInt(interval, 10))
 }
--- a/internal/eventlog/log.go
+++ b/internal/eventlog/log.go
@@ -35,31 +35,31 @@
 
 // Line is one decision or change. Fields with a zero value are not written.
 type Line struct {
-	Event     Event
-	At        int64  // ms since 1970; 0 stands for the time of the call of Write
-	Request   string // ID of the request concerned
-	Work      string // fingerprint of the request's content: the same for all its attempts
-	Attempt   int    // number of the attempt within the request, from 1
-	Route     string
-	Service   string
-	Workspace string // name of the workspace that sent the request
-	Endpoint  string // ID of the endpoint
-	Address   string // of the endpoint or peer
-	Prefill   string // ID of the prefill engine
-	Zone      string
-	Wait      time.Duration // predicted wait, or the wait that a refused caller is given
-	Outcome   string
-	Reason    string        // reason code
-	Detail    string        // free text, such as an error
-	Status    int           // HTTP status
-	Took      time.Duration // time since the request arrived, or the length of a period
-	First     time.Duration // from the request's arrival to its first event
-	Predicted time.Duration // First as predicted when the request was placed
-	Left      time.Duration // time until the request's deadline
-	Age       time.Duration // of the data that the decision was based on
-	Version   int64         // of the configuration
-	Revision  int64         // of the store
-	Count     int64
+	Event       Event
+	At          int64  // ms since 1970; 0 stands for the time of the call of Write
+	Request     string // ID of the request concerned
+	Fingerprint string // fingerprint of the request's content: the same for all its attempts
+	Attempt     int    // number of the attempt within the request, from 1
+	Route       string
+	Service     string
+	Workspace   string // name of the workspace that sent the request
+	Endpoint    string // ID of the endpoint
+	Address     string // of the endpoint or peer
+	Prefill     string // ID of the prefill engine
+	Zone        string
+	Wait        time.Duration // predicted wait, or the wait that a refused caller is given
+	Outcome     string
+	Reason      string        // reason code
+	Detail      string        // free text, such as an error
+	Status      int           // HTTP status
+	Took        time.Duration // time since the request arrived, or the length of a period
+	TimeToFirst time.Duration // from the request's arrival to its first event
+	Predicted   time.Duration // First as predicted when the request was placed
+	TimeLeft    time.Duration // time until the request's deadline
+	Age         time.Duration // of the data that the decision was based on
+	Version     int64         // of the configuration
+	Revision    int64         // of the store
+	Count       int64
 }
 
 // Write queues one line. It first writes a lines_dropped line if lines were dropped
@@ -71,7 +71,7 @@
 	}
 	e := begin(l.logger.Log(), line.At, line.Event)
 	addText(e, "request", line.Request)
-	addText(e, "work", line.Work)
+	addText(e, "work", line.Fingerprint)
 	addInt(e, "attempt", int64(line.Attempt))
 	addText(e, "route", line.Route)
 	addText(e, "service", line.Service)
@@ -86,9 +86,9 @@
 	addText(e, "detail", line.Detail)
 	addInt(e, "status", int64(line.Status))
 	addInt(e, "took_ms", line.Took.Milliseconds())
-	addInt(e, "first_ms", line.First.Milliseconds())
+	addInt(e, "first_ms", line.TimeToFirst.Milliseconds())
 	addInt(e, "predicted_ms", line.Predicted.Milliseconds())
-	addInt(e, "left_ms", line.Left.Milliseconds())
+	addInt(e, "left_ms", line.TimeLeft.Milliseconds())
 	addInt(e, "age_ms", line.Age.Milliseconds())
 	addInt(e, "version", line.Version)
 	addInt(e, "revision", line.Revision)
--- a/internal/eventlog/log_test.go
+++ b/internal/eventlog/log_test.go
@@ -115,9 +115,9 @@
 			var out bytes.Buffer
 			log := eventlog.Open(&out, "n1")
 			for range 300 { // more than immediateBurst
-				log.Trail().End(true)
+				log.NewRequestLog().End(true)
 			}
-			trail := log.Trail()
+			trail := log.NewRequestLog()
 			for range 3 {
 				trail.Write(eventlog.Line{Event: eventlog.Sent, Request: "last"})
 			}
--- a/internal/eventlog/sampling.go
+++ b/internal/eventlog/sampling.go
@@ -16,8 +16,8 @@
 	immediateBurst = 80
 )
 
-// Trail collects the lines of one request.
-type Trail struct {
+// RequestLog collects the lines of one request.
+type RequestLog struct {
 	log       *Log
 	held      []Line
 	immediate bool // lines are written without waiting for the outcome
@@ -27,11 +27,11 @@
 // immediately.
 func newImmediateLimiter() *rate.Limiter { return rate.NewLimiter(immediateRate, immediateBurst) }
 
-// Trail returns the trail of a request that has just arrived.
-func (l *Log) Trail() *Trail { return &Trail{log: l, immediate: l.immediate.Allow()} }
+// NewRequestLog returns the trail of a request that has just arrived.
+func (l *Log) NewRequestLog() *RequestLog { return &RequestLog{log: l, immediate: l.immediate.Allow()} }
 
 // Write writes one line, or holds it with the present time until End.
-func (t *Trail) Write(line Line) {
+func (t *RequestLog) Write(line Line) {
 	if t.immediate {
 		t.log.Write(line)
 		return
@@ -42,7 +42,7 @@
 
 // End writes the lines held so far, or leaves them out if the request was served in
 // time.
-func (t *Trail) End(served bool) {
+func (t *RequestLog) End(served bool) {
 	if served {
 		t.log.sampled.Add(int64(len(t.held)))
 		t.held = nil
--- a/internal/experiment/engine.go
+++ b/internal/experiment/engine.go
@@ -60,7 +60,7 @@
 		Running: reported.running, Waiting: reported.waiting, StepUS: step.Microseconds(), AgeMS: now.Sub(reported.at).Milliseconds(),
 	}}
 	for _, id := range slices.Sorted(maps.Keys(e.jobs)) {
-		r.Held = append(r.Held, endpoint.Held{Attempt: string(id)})
+		r.Held = append(r.Held, endpoint.HeldAttempt{Attempt: string(id)})
 	}
 	return r
 }
@@ -110,7 +110,7 @@
 		s.outcome.PrefillTokens += int64(j.prompt)
 		j.wastedTokens += int64(j.prompt)
 		transfer := time.Duration(j.prompt) * time.Second / time.Duration(s.plan.Fleet.LinkRate)
-		s.after(messageDelay, func() { s.progress(j.attempt, cell.Progress{Phase: cell.Prefilled, Took: s.now.Sub(j.started)}) })
+		s.after(messageDelay, func() { s.progress(j.attempt, cell.Progress{Phase: cell.Prefilled, Duration: s.now.Sub(j.started)}) })
 		s.after(transfer+2*messageDelay, func() { s.decode(j.attempt) })
 		s.startPrefill(e)
 	})
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -37,7 +37,7 @@
 	c := qt.New(t)
 	var texts []string
 	for _, jobs := range []int{1, 4} {
-		text, err := json.Marshal(plan(t, shortPlan).Play("v", jobs))
+		text, err := json.Marshal(plan(t, shortPlan).RunAll("v", jobs))
 		c.Assert(err, qt.IsNil)
 		texts = append(texts, string(text))
 	}
@@ -172,16 +172,16 @@
 // A result that was written to a file and read back does not differ from itself.
 func TestResultFilesCompare(t *testing.T) {
 	c := qt.New(t)
-	r := plan(t, shortPlan).Play("v1", 2)
+	r := plan(t, shortPlan).RunAll("v1", 2)
 	file := filepath.Join(t.TempDir(), "result.json")
 	c.Assert(r.Write(file), qt.IsNil)
-	earlier, err := experiment.Read(file)
+	earlier, err := experiment.ReadResult(file)
 	c.Assert(err, qt.IsNil)
 	earlier.Version = "v0"
 	var out strings.Builder
 	c.Assert(r.Print(&out, earlier), qt.IsNil)
 	c.Assert(strings.Count(out.String(), "+0.00 ± 0.00"), qt.Equals, len(r.Policies), qt.Commentf("%s", out.String()))
-	_, err = experiment.Read(filepath.Join(t.TempDir(), "none.json"))
+	_, err = experiment.ReadResult(filepath.Join(t.TempDir(), "none.json"))
 	c.Assert(err, qt.IsNotNil)
 }
 
@@ -190,7 +190,7 @@
 		t.Run(format, func(t *testing.T) {
 			c := qt.New(t)
 			dir := t.TempDir()
-			c.Assert(plan(t, shortPlan).Play("v", 2).Plot(dir, format), qt.IsNil)
+			c.Assert(plan(t, shortPlan).RunAll("v", 2).Plot(dir, format), qt.IsNil)
 			for _, name := range []string{"short_in_time", "short_first_token"} {
 				info, err := os.Stat(filepath.Join(dir, name+"."+format))
 				c.Assert(err, qt.IsNil)
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -19,10 +19,10 @@
 // Error is the class of all errors of this package.
 var Error = errs.Class("experiment")
 
-// Default is the commented plan with the default values of all keys.
+// DefaultPlan is the commented plan with the default values of all keys.
 //
 //go:embed default.yaml
-var Default []byte
+var DefaultPlan []byte
 
 // Plan declares an experiment. Its file is YAML with these keys.
 type Plan struct {
@@ -103,7 +103,7 @@
 // ParsePlan parses and validates a plan; file is the name used in errors.
 func ParsePlan(file string, data []byte) (*Plan, error) {
 	p := &Plan{}
-	if err := yaml.Unmarshal(Default, p); err != nil {
+	if err := yaml.Unmarshal(DefaultPlan, p); err != nil {
 		return nil, Error.New("built-in plan: %v", err)
 	}
 	if err := yaml.UnmarshalWithOptions(data, p, yaml.Strict()); err != nil {
--- a/internal/experiment/requests.go
+++ b/internal/experiment/requests.go
@@ -40,7 +40,7 @@
 	r.attempts++
 	a := &attempt{request: r, id: cell.NewAttemptID(r.id, r.attempts)}
 	s.running[a.id] = a
-	query := cell.Ask{
+	query := cell.AttemptRequest{
 		Cell: emulatedCell, Attempt: a.id, Request: r.id, Owner: owner, Workspace: workspace, Kind: kind, Tokens: r.prompt,
 		MaxTokens: s.plan.Load.Answer.Max, Budget: s.plan.Load.FirstToken - s.now.Sub(r.arrived),
 		Avoid: r.avoid, Retry: r.attempts > 1,
@@ -85,7 +85,7 @@
 	if a.ended {
 		return
 	}
-	s.progress(a, cell.Progress{Phase: cell.Failed, At: at})
+	s.progress(a, cell.Progress{Phase: cell.Failed, FailedEndpoint: at})
 	s.closeAttempt(a)
 	r := a.request
 	left := s.plan.Load.FirstToken - s.now.Sub(r.arrived)
@@ -110,7 +110,7 @@
 	if a.ended {
 		return
 	}
-	s.progress(a, cell.Progress{Phase: cell.Finished, Took: took, Tokens: a.answer})
+	s.progress(a, cell.Progress{Phase: cell.Finished, Duration: took, Tokens: a.answer})
 	s.closeAttempt(a)
 	a.wastedTokens -= int64(a.prompt) // the prompt of the successful attempt is not wasted
 	s.endRequest(a.request, func(o *Outcome) { o.recordAnswer(a.request, s.plan.Load.FirstToken) })
@@ -132,14 +132,14 @@
 // announce sends the dispatcher all attempts of the entry: those that wait for a grant
 // and those that run.
 func (s *simulation) announce() {
-	announcement := cell.Announce{Cell: emulatedCell, Owner: owner}
+	announcement := cell.Announcement{Cell: emulatedCell, Owner: owner}
 	for _, id := range sortedKeys(s.running) {
 		a := s.running[id]
 		if a.phase == "" {
 			announcement.Waiting = append(announcement.Waiting, id)
 			continue
 		}
-		announcement.Running = append(announcement.Running, cell.Running{
+		announcement.Running = append(announcement.Running, cell.AnnouncedAttempt{
 			Attempt: id, Phase: a.phase, Prefill: a.grant.Prefill, Decode: a.grant.Decode, Workspace: workspace, Kind: kind, Tokens: a.prompt,
 		})
 	}
--- a/internal/experiment/result.go
+++ b/internal/experiment/result.go
@@ -23,9 +23,9 @@
 	Runs     []*Outcome `json:"runs"`
 }
 
-// Play runs the plan with each policy and seed, jobs runs at a time. The result does not
+// RunAll runs the plan with each policy and seed, jobs runs at a time. The result does not
 // depend on jobs.
-func (p *Plan) Play(version string, jobs int) *Result {
+func (p *Plan) RunAll(version string, jobs int) *Result {
 	r := &Result{Plan: p.Name, Version: version, Policies: p.Policies, Seeds: p.Seeds}
 	r.Runs = make([]*Outcome, len(p.Policies)*len(p.Seeds))
 	next := make(chan int)
@@ -45,8 +45,8 @@
 	return r
 }
 
-// Read reads a result file.
-func Read(file string) (*Result, error) {
+// ReadResult reads a result file.
+func ReadResult(file string) (*Result, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return nil, Error.New("%s: %v", file, err)
--- a/internal/experiment/simulation.go
+++ b/internal/experiment/simulation.go
@@ -60,8 +60,8 @@
 		outcome: newOutcome(policy, seed, p.Duration),
 	}
 	s.cell = cell.New(emulatedCell, s.now, cell.Options{
-		Policy: policy, OwnerExpiry: ownerExpiry, RetryShare: retryRatio,
-		Violated: func(what string) { s.outcome.Violations = append(s.outcome.Violations, what) },
+		Policy: policy, OwnerExpiry: ownerExpiry, RetryRatio: retryRatio,
+		OnViolation: func(what string) { s.outcome.Violations = append(s.outcome.Violations, what) },
 	})
 	s.apply(cell.Configured{Catalog: catalog.New(), Members: s.addEngines()})
 	s.every(tickInterval, func() { s.apply(cell.Tick{}) })
@@ -83,7 +83,7 @@
 	fleet := s.plan.Fleet
 	for _, role := range []string{catalog.RolePrefill, catalog.RoleDecode} {
 		for i := range fleet.count(role) {
-			m := catalog.Member{Name: fmt.Sprintf("%s-%03d", role, i+1), Role: role, Slots: fleet.Slots, Link: fleet.LinkRate}
+			m := catalog.Member{Name: fmt.Sprintf("%s-%03d", role, i+1), Role: role, Slots: fleet.Slots, LinkRate: fleet.LinkRate}
 			e := &engine{Member: m, jobs: map[cell.AttemptID]*job{}}
 			members = append(members, m)
 			s.engines[m.Name] = e
@@ -166,7 +166,7 @@
 			s.after(messageDelay, func() {
 				known := s.engines[f.Endpoint].removeJob(f.Attempt)
 				s.startPrefill(s.engines[f.Endpoint])
-				s.after(messageDelay, func() { s.apply(cell.Cancelled{Endpoint: f.Endpoint, Attempt: f.Attempt, Known: known}) })
+				s.after(messageDelay, func() { s.apply(cell.Cancelled{Endpoint: f.Endpoint, Attempt: f.Attempt, Freed: known}) })
 			})
 		case cell.SendFenced, cell.SendUnknown: // occur only with a second dispatcher
 		}
@@ -182,6 +182,6 @@
 			continue
 		}
 		report := e.report(s.now, s.plan.Fleet.ReportAge, s.stepTime(e))
-		s.after(2*messageDelay, func() { s.apply(cell.Reported{Endpoint: e.Name, Report: report, Began: began}) })
+		s.after(2*messageDelay, func() { s.apply(cell.Reported{Endpoint: e.Name, Report: report, RequestedAt: began}) })
 	}
 }
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -24,17 +24,17 @@
 // ErrHistoryLost says that the store no longer has the requested changes.
 var ErrHistoryLost = errors.New("history is lost")
 
-// News is what the store returned, complete up to Revision.
-type News struct {
+// Update is what the store returned, complete up to Revision.
+type Update struct {
 	Events   []directory.Event
 	Problems []Problem
 	Revision int64
 
 	Instances     []roster.Instance // of this system
-	GoneInstances []roster.Departure
-	Complete      bool // Instances has all that exist
+	GoneInstances []roster.Removal
+	AllInstances  bool // Instances has all that exist
 
-	Suspects suspects.News
+	Suspects suspects.StoreUpdate
 
 	Partial bool // there are too many entries for each instance to read
 }
@@ -51,22 +51,22 @@
 
 // Source reads the store.
 type Source struct {
-	// Most is how many entries each instance may read for itself.
-	Most int
+	// MaxEntries is how many entries each instance may read for itself.
+	MaxEntries int
 	// List reads everything, and calls read with the number of entries of each page.
-	List func(ctx context.Context, read func(entries int)) (News, error)
-	// Begin reads everything as it was up to some seconds ago, which costs a tenth of a
+	List func(ctx context.Context, read func(entries int)) (Update, error)
+	// ListStale reads everything as it was up to some seconds ago, which costs a tenth of a
 	// current read. It passes what it finds first to early before the rest has been read,
 	// and its News need not repeat it.
-	Begin func(ctx context.Context, early func(News)) (News, error)
+	ListStale func(ctx context.Context, early func(Update)) (Update, error)
 	// Configuration reads only the configuration; its News has no Revision.
-	Configuration func(ctx context.Context) (News, error)
-	// Head returns the store's revision.
-	Head func(ctx context.Context) (int64, error)
-	// Zone reads only the instances of a zone.
-	Zone func(ctx context.Context, zone string) (News, error)
+	Configuration func(ctx context.Context) (Update, error)
+	// HeadRevision returns the store's revision.
+	HeadRevision func(ctx context.Context) (int64, error)
+	// ListZone reads only the instances of a zone.
+	ListZone func(ctx context.Context, zone string) (Update, error)
 	// Watch waits for changes after revision.
-	Watch func(ctx context.Context, revision int64, wait time.Duration) (News, error)
+	Watch func(ctx context.Context, revision int64, wait time.Duration) (Update, error)
 }
 
 const (
@@ -116,19 +116,19 @@
 	// changes from peers. Told is called after the directory has taken something from the
 	// store.
 	Watching func() bool
-	Told     func()
-	// Changed is called when the roster may have changed.
-	Changed func()
-	// Warming is called with an endpoint whose entry says that it is cold.
-	Warming func(directory.Endpoint)
+	Updated  func()
+	// RosterChanged is called when the roster may have changed.
+	RosterChanged func()
+	// EndpointCold is called with an endpoint whose entry says that it is cold.
+	EndpointCold func(directory.Endpoint)
 	// ZoneSize returns how many instances the own zone has.
 	ZoneSize func() int
-	// Progressed is called with the number of entries of each page of a complete read.
-	Progressed func(entries int)
+	// Progress is called with the number of entries of each page of a complete read.
+	Progress func(entries int)
 	// Seed gets from peers what is too much to read; false: it has to be read after all.
 	Seed func(context.Context) bool
 	// Suspects takes the store's records of requests that end endpoints.
-	Suspects func(suspects.News)
+	Suspects func(suspects.StoreUpdate)
 }
 
 // Feed follows the store for one instance.
@@ -193,7 +193,7 @@
 		}
 		retryDelay = initialRetryDelay
 		f.taskDone(t)
-		f.Take(update)
+		f.ApplyUpdate(update)
 		f.storeReached(update.Revision)
 		if update.Partial {
 			f.largeAtStart = true
@@ -201,7 +201,7 @@
 			f.request(&f.needList)
 		}
 		revision = max(revision, update.Revision, f.Directory.View().Revision)
-		f.Told()
+		f.Updated()
 		if t == taskStaleList {
 			continue // the next call reads the changes since that listing
 		}
@@ -221,10 +221,10 @@
 }
 
 // read makes the calls of one task.
-func (f *Feed) read(ctx context.Context, t task, revision int64) (News, error) {
+func (f *Feed) read(ctx context.Context, t task, revision int64) (Update, error) {
 	switch t {
 	case taskStaleList:
-		return f.Source.Begin(ctx, f.Take)
+		return f.Source.ListStale(ctx, f.ApplyUpdate)
 	case taskList:
 		return f.readList(ctx)
 	case taskConfiguration:
@@ -237,26 +237,26 @@
 }
 
 // follow waits for changes until something else is to be read.
-func (f *Feed) follow(ctx context.Context, revision int64) (News, error) {
+func (f *Feed) follow(ctx context.Context, revision int64) (Update, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	f.setWatch(cancel)
 	defer f.setWatch(nil)
 	if f.pending() {
-		return News{}, context.Canceled // requested just before the watch began
+		return Update{}, context.Canceled // requested just before the watch began
 	}
 	return f.Source.Watch(ctx, revision, watchTimeout)
 }
 
-// Take applies what the store returned and logs what it changed.
-func (f *Feed) Take(n News) {
+// ApplyUpdate applies what the store returned and logs what it changed.
+func (f *Feed) ApplyUpdate(n Update) {
 	for _, p := range n.Problems {
 		f.logUnreadable(p)
 	}
 	// Instances first: peers request what they lack by the directory's revision, which must
 	// not be ahead of the instances that they are sent.
 	f.applyInstances(n)
-	if s := n.Suspects; f.Suspects != nil && (s.Complete || len(s.Records)+len(s.Released)+len(s.Problems) > 0) {
+	if s := n.Suspects; f.Suspects != nil && (s.Complete || len(s.Records)+len(s.Released)+len(s.Errors) > 0) {
 		f.Suspects(s)
 	}
 	var changes []directory.Change
@@ -283,15 +283,15 @@
 }
 
 // applyInstances applies what the store returned about instances to the roster and logs it.
-func (f *Feed) applyInstances(n News) {
-	if !n.Complete && len(n.Instances)+len(n.GoneInstances) == 0 {
+func (f *Feed) applyInstances(n Update) {
+	if !n.AllInstances && len(n.Instances)+len(n.GoneInstances) == 0 {
 		return
 	}
 	removed := n.GoneInstances
-	if n.Complete {
+	if n.AllInstances {
 		removed = append(removed, f.Roster.Missing(n.Instances, n.Revision)...)
 	}
-	seen := slices.DeleteFunc(slices.Clone(n.Instances), func(i roster.Instance) bool { return !f.Roster.See(i) })
+	seen := slices.DeleteFunc(slices.Clone(n.Instances), func(i roster.Instance) bool { return !f.Roster.Update(i) })
 	// Each removal at its own revision: one read may return the removal of an entry and its
 	// return. When removals had the revision of the read, whole zones lacked each other's
 	// planners for tens of seconds after a loss of connection.
@@ -303,7 +303,7 @@
 	}
 	f.logSeen(seen, n.Revision)
 	f.logGone(names, n.Revision)
-	f.Changed()
+	f.RosterChanged()
 }
 
 // maxInstanceLines is how many instances that appear or go together are logged on a line
@@ -341,18 +341,18 @@
 	})
 }
 
-// Roll reads the instances of a zone from the store.
-func (f *Feed) Roll(ctx context.Context, zone string) error {
-	update, err := f.Source.Zone(ctx, zone)
+// ReadZone reads the instances of a zone from the store.
+func (f *Feed) ReadZone(ctx context.Context, zone string) error {
+	update, err := f.Source.ListZone(ctx, zone)
 	if err == nil {
 		f.applyInstances(update)
 	}
 	return err
 }
 
-// Heard takes the outcome of another call to the store. A failure cancels the watch in
+// ObserveCall takes the outcome of another call to the store. A failure cancels the watch in
 // progress, which may wait on a dead connection.
-func (f *Feed) Heard(err error) {
+func (f *Feed) ObserveCall(err error) {
 	if err == nil {
 		return
 	}
@@ -365,14 +365,14 @@
 // each; more share one. A start would log ten thousand at each instance of a large fleet.
 const maxChangeLines = 16
 
-// Tell applies one event to the directory and logs what it changed.
-func (f *Feed) Tell(e directory.Event) { f.logChanges(f.Directory.Apply(f.Now(), e)) }
+// Apply applies one event to the directory and logs what it changed.
+func (f *Feed) Apply(e directory.Event) { f.logChanges(f.Directory.Apply(f.Now(), e)) }
 
 // logChanges logs changes and reports which endpoints are cold.
 func (f *Feed) logChanges(changes []directory.Change) {
-	counts := map[directory.What]int{}
+	counts := map[directory.ChangeKind]int{}
 	for _, c := range changes {
-		counts[c.What]++
+		counts[c.Kind]++
 	}
 	for what, count := range counts {
 		if count > maxChangeLines {
@@ -382,14 +382,14 @@
 		}
 	}
 	for _, c := range changes {
-		if c.Endpoint.Cold > 0 && (c.What == directory.EndpointJoined || c.What == directory.EndpointChanged) {
-			f.Warming(c.Endpoint)
+		if c.Endpoint.ColdFor > 0 && (c.Kind == directory.EndpointJoined || c.Kind == directory.EndpointChanged) {
+			f.EndpointCold(c.Endpoint)
 		}
-		if counts[c.What] > maxChangeLines {
+		if counts[c.Kind] > maxChangeLines {
 			continue
 		}
 		n := eventlog.Line{
-			Event: eventlog.Believed, Outcome: string(c.What), Version: c.Version, Revision: c.Revision,
+			Event: eventlog.Believed, Outcome: string(c.Kind), Version: c.Version, Revision: c.Revision,
 			Endpoint: c.Endpoint.ID, Service: c.Endpoint.Service, Zone: c.Zone,
 		}
 		if c.Endpoint.ID != "" {
@@ -401,7 +401,7 @@
 
 // storeFailed records that a call to the store failed.
 func (f *Feed) storeFailed(err error) {
-	f.Tell(directory.StoreLost{})
+	f.Apply(directory.StoreLost{})
 	if f.setLost(true) {
 		return
 	}
@@ -412,7 +412,7 @@
 
 // storeReached records that the store answered, with everything up to revision applied.
 func (f *Feed) storeReached(revision int64) {
-	f.Tell(directory.StoreReached{Revision: revision})
+	f.Apply(directory.StoreReached{Revision: revision})
 	if !f.setLost(false) {
 		return
 	}
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -41,18 +41,18 @@
 
 var errDown = errors.New("down")
 
-func (s *fakeStore) read(ctx context.Context) (feed.News, error) {
+func (s *fakeStore) read(ctx context.Context) (feed.Update, error) {
 	version := s.version.Load()
 	if s.failing.Load() {
-		return feed.News{}, errDown
+		return feed.Update{}, errDown
 	}
 	select {
 	case <-ctx.Done():
-		return feed.News{}, ctx.Err()
+		return feed.Update{}, ctx.Err()
 	case <-time.After(s.readTime):
 	}
 	table, err := route.NewTable(route.Document{Version: version})
-	return feed.News{Events: []directory.Event{directory.Configured{Table: table, Revision: version}}}, err
+	return feed.Update{Events: []directory.Event{directory.Configured{Table: table, Revision: version}}}, err
 }
 
 func (s *fakeStore) newFeed(t *testing.T) (*feed.Feed, *directory.Directory) {
@@ -62,38 +62,38 @@
 	t.Cleanup(func() { _ = log.Close() })
 	f := feed.New(feed.Options{
 		Source: feed.Source{
-			Most: maxEntries,
-			List: func(ctx context.Context, _ func(int)) (feed.News, error) {
+			MaxEntries: maxEntries,
+			List: func(ctx context.Context, _ func(int)) (feed.Update, error) {
 				s.lists.Add(1)
 				n, err := s.read(ctx)
-				n.Revision, n.Complete = s.version.Load(), true
+				n.Revision, n.AllInstances = s.version.Load(), true
 				return n, err
 			},
-			Begin: func(ctx context.Context, _ func(feed.News)) (feed.News, error) {
+			ListStale: func(ctx context.Context, _ func(feed.Update)) (feed.Update, error) {
 				s.staleLists.Add(1)
 				n, err := s.read(ctx)
-				n.Revision, n.Complete = s.version.Load(), true
+				n.Revision, n.AllInstances = s.version.Load(), true
 				return n, err
 			},
-			Configuration: func(ctx context.Context) (feed.News, error) {
+			Configuration: func(ctx context.Context) (feed.Update, error) {
 				s.tables.Add(1)
 				return s.read(ctx)
 			},
-			Watch: func(ctx context.Context, revision int64, wait time.Duration) (feed.News, error) {
+			Watch: func(ctx context.Context, revision int64, wait time.Duration) (feed.Update, error) {
 				s.watches.Add(1)
 				if s.failing.Load() {
-					return feed.News{}, errDown
+					return feed.Update{}, errDown
 				}
 				select {
 				case <-ctx.Done():
-					return feed.News{}, ctx.Err()
+					return feed.Update{}, ctx.Err()
 				case <-time.After(wait):
-					return feed.News{Revision: revision}, nil
+					return feed.Update{Revision: revision}, nil
 				}
 			},
 		},
 		Directory: d, Roster: roster.New(clock.System()), Log: log, Scope: tally.NoopScope,
-		Now: clock.System(), Bound: 2 * time.Second, Lost: none, Regained: none, Changed: none, Told: none, Progressed: func(int) {},
+		Now: clock.System(), Bound: 2 * time.Second, Lost: none, Regained: none, RosterChanged: none, Updated: none, Progress: func(int) {},
 		Watching: s.watching.Load, ZoneSize: func() int { return 1 },
 	})
 	return f, d
@@ -195,7 +195,7 @@
 			switch step {
 			case 2:
 				s.failing.Store(true)
-				f.Heard(errDown)
+				f.ObserveCall(errDown)
 			case 4:
 				s.watching.Store(false)
 			case 20:
@@ -264,13 +264,13 @@
 			log := eventlog.Open(&written, "n1")
 			f := feed.New(feed.Options{
 				Directory: directory.New(), Roster: roster.New(clock.System()), Log: log, Scope: tally.NoopScope,
-				Now: clock.System(), Changed: func() {},
+				Now: clock.System(), RosterChanged: func() {},
 			})
-			var update feed.News
+			var update feed.Update
 			for i := range test.instances {
 				update.Instances = append(update.Instances, roster.Instance{Name: fmt.Sprint("front-", i), Fingerprint: fmt.Sprint(i), Revision: 7})
 			}
-			f.Take(update)
+			f.ApplyUpdate(update)
 			c.Assert(log.Close(), qt.IsNil)
 			text := written.String()
 			c.Assert(strings.Count(text, "front-"), qt.Equals, test.instances)
@@ -288,9 +288,9 @@
 		s.version.Store(1)
 		s.watching.Store(true)
 		f, _ := s.newFeed(t)
-		f.Source.Watch = func(_ context.Context, revision int64, _ time.Duration) (feed.News, error) {
+		f.Source.Watch = func(_ context.Context, revision int64, _ time.Duration) (feed.Update, error) {
 			s.watches.Add(1)
-			return feed.News{Revision: revision + 1}, nil // something changes all the time
+			return feed.Update{Revision: revision + 1}, nil // something changes all the time
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -316,14 +316,14 @@
 		log := eventlog.Open(&out, "n1")
 		f := feed.New(feed.Options{Directory: directory.New(), Log: log, Now: func() clock.Millis { return 0 }, Scope: tally.NoopScope})
 		var all []directory.Endpoint
-		var update feed.News
+		var update feed.Update
 		for n := range test.endpoints {
 			all = append(all, directory.Endpoint{ID: fmt.Sprint("e", n), Service: "web", Zone: "a", Revision: int64(n + 1)})
 		}
 		for _, e := range all {
 			update.Events = append(update.Events, directory.Seen{Endpoint: e})
 		}
-		f.Take(update)
+		f.ApplyUpdate(update)
 		c.Assert(log.Close(), qt.IsNil)
 		c.Assert(strings.Count(out.String(), "endpoint_joined"), qt.Equals, test.lines)
 		c.Assert(test.lines > 1 || strings.Contains(out.String(), `"count":1000`), qt.IsTrue)
@@ -342,10 +342,10 @@
 			f, _ := s.newFeed(t)
 			seeds := 0
 			f.Seed = func(context.Context) bool { seeds++; return seeded }
-			begin := f.Source.Begin
-			f.Source.Begin = func(ctx context.Context, early func(feed.News)) (feed.News, error) {
+			begin := f.Source.ListStale
+			f.Source.ListStale = func(ctx context.Context, early func(feed.Update)) (feed.Update, error) {
 				n, err := begin(ctx, early)
-				n.Partial, n.Revision, n.Complete = true, 0, false
+				n.Partial, n.Revision, n.AllInstances = true, 0, false
 				return n, err
 			}
 			done := make(chan struct{})
@@ -380,7 +380,7 @@
 			go func() { defer close(done); f.Run(ctx) }()
 			time.Sleep(time.Second)
 			for n := range size {
-				f.Tell(directory.Seen{Endpoint: directory.Endpoint{ID: fmt.Sprint("e", n), Service: "llm", Zone: "a", Revision: int64(n + 2)}})
+				f.Apply(directory.Seen{Endpoint: directory.Endpoint{ID: fmt.Sprint("e", n), Service: "llm", Zone: "a", Revision: int64(n + 2)}})
 			}
 			f.List()
 			time.Sleep(time.Second)
@@ -413,16 +413,16 @@
 				}
 				return test.seeded
 			}
-			begin := f.Source.Begin
-			f.Source.Begin = func(ctx context.Context, early func(feed.News)) (feed.News, error) {
+			begin := f.Source.ListStale
+			f.Source.ListStale = func(ctx context.Context, early func(feed.Update)) (feed.Update, error) {
 				n, err := begin(ctx, early)
-				n.Partial, n.Revision, n.Complete = true, 0, false
+				n.Partial, n.Revision, n.AllInstances = true, 0, false
 				s.version.Store(2)
 				return n, err
 			}
-			f.Source.List = func(context.Context, func(int)) (feed.News, error) {
+			f.Source.List = func(context.Context, func(int)) (feed.Update, error) {
 				time.Sleep(long)
-				return feed.News{}, nil
+				return feed.Update{}, nil
 			}
 			done := make(chan struct{})
 			go func() { defer close(done); f.Run(ctx) }()
@@ -455,13 +455,13 @@
 		s.watching.Store(true)
 		f, d := s.newFeed(t)
 		const part, all = 500, 10_000
-		f.Source.Watch = func(ctx context.Context, _ int64, _ time.Duration) (feed.News, error) {
+		f.Source.Watch = func(ctx context.Context, _ int64, _ time.Duration) (feed.Update, error) {
 			time.Sleep(5 * time.Millisecond)
 			if d.View().Size() >= all {
 				<-ctx.Done()
-				return feed.News{}, ctx.Err()
+				return feed.Update{}, ctx.Err()
 			}
-			update := feed.News{}
+			update := feed.Update{}
 			for n := range part {
 				at := d.View().Size() + n
 				update.Events = append(update.Events, directory.Seen{Endpoint: directory.Endpoint{
--- a/internal/feed/large.go
+++ b/internal/feed/large.go
@@ -7,7 +7,9 @@
 
 // isLarge reports whether there are too many entries for each instance to read, either when
 // this one started or now.
-func (f *Feed) isLarge() bool { return f.largeAtStart || f.Directory.View().Size() > f.Source.Most }
+func (f *Feed) isLarge() bool {
+	return f.largeAtStart || f.Directory.View().Size() > f.Source.MaxEntries
+}
 
 // seedFromZone gets all endpoints of a large store from the zone.
 func (f *Feed) seedFromZone(ctx context.Context) (ok bool) {
@@ -16,8 +18,8 @@
 }
 
 // readList reads everything.
-func (f *Feed) readList(ctx context.Context) (update News, err error) {
-	read := func() { update, err = f.Source.List(ctx, f.Progressed) }
+func (f *Feed) readList(ctx context.Context) (update Update, err error) {
+	read := func() { update, err = f.Source.List(ctx, f.Progress) }
 	if f.isLarge() {
 		f.runInBackground(ctx, read)
 	} else {
@@ -60,7 +62,7 @@
 		time.AfterFunc(maxRetryDelay, f.wake)
 		return
 	}
-	f.Take(update)
+	f.ApplyUpdate(update)
 	f.storeReached(0)
-	f.Told()
+	f.Updated()
 }
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -56,9 +56,9 @@
 		return false
 	}
 	if head.HasLoad {
-		r.Told(p.Now(), head.Load)
+		r.ReportLoad(p.Now(), head.Load)
 		if p.place != nil && !head.NotRun {
-			p.BeganAtPlace(p.place, head.Load.Running)
+			p.ReportDecodeStart(p.place, head.Load.Running)
 		}
 	}
 	silence.reset()
@@ -77,16 +77,16 @@
 	return p.forwardPlain(parent, r, exchange, head, silence)
 }
 
-func (p *proxyRequest) send(ctx context.Context, r *balance.Reservation) (*uplink.Exchange, Answer, error) {
+func (p *proxyRequest) send(ctx context.Context, r *balance.Reservation) (*uplink.Exchange, ResponseHead, error) {
 	m := p.message
-	m.To, m.Life = r.Endpoint.Address, r.Endpoint.ID
-	m.Rest = onceMaxIdle
+	m.Address, m.EndpointID = r.Endpoint.Address, r.Endpoint.ID
+	m.MaxIdle = onceMaxIdle
 	if p.route.Kind == route.Idempotent {
-		m.Rest = repeatableMaxIdle
+		m.MaxIdle = repeatableMaxIdle
 	}
-	m.Header = p.Dialect.Encode(p.call, Send{
-		Endpoint: r.Endpoint, Wait: max(p.left(), 0), LastEvent: p.lastEventID, Priority: p.priority(), Workspace: p.workspaceName(),
-		PrefillAt: p.prefill.handle,
+	m.Header = p.Codec.EncodeHeader(p.call, Send{
+		Endpoint: r.Endpoint, Wait: max(p.left(), 0), LastEventID: p.lastEventID, Priority: p.priority(), Workspace: p.workspaceName(),
+		KVHandle: p.prefill.handle,
 	})
 	p.logResend()
 	p.startTiming()
@@ -95,10 +95,10 @@
 	n := p.logLine(eventlog.Sent, "", nil)
 	n.Endpoint, n.Address, n.Revision = r.Endpoint.ID, r.Endpoint.Address.String(), p.view.Revision
 	p.trail.Write(n)
-	var head Answer
+	var head ResponseHead
 	exchange, err := p.Pool.Do(ctx, m, func(resp *http.Response) bool {
-		head = p.Dialect.Read(resp)
-		return head.ID == p.call.ID
+		head = p.Codec.ReadHead(resp)
+		return head.RequestID == p.call.ID
 	})
 	if errors.Is(err, uplink.ErrNotSent) {
 		p.sends--
@@ -128,7 +128,7 @@
 	p.failure = "no_answer"
 	switch {
 	case parent.Err() != nil:
-		result = balance.Abandoned
+		result = balance.Canceled
 		if errors.Is(context.Cause(parent), context.DeadlineExceeded) {
 			result = balance.Failed
 		}
@@ -155,12 +155,12 @@
 }
 
 // endpointRejected handles a response that says that the endpoint did not run the request.
-func (p *proxyRequest) endpointRejected(r *balance.Reservation, head Answer) {
+func (p *proxyRequest) endpointRejected(r *balance.Reservation, head ResponseHead) {
 	p.failure = "endpoints_full"
 	p.fullEngine = r.Endpoint.ID
-	if head.Other {
+	if head.AddressReused {
 		p.failure = "address_reused"
-		p.Gone(r.Endpoint.ID)
+		p.ReportGone(r.Endpoint.ID)
 	}
 	p.endpointFailed(r, balance.Rejected, nil)
 	if p.prefill.handle != nil {
@@ -169,16 +169,16 @@
 }
 
 // forwardPlain forwards a response that is not a stream.
-func (p *proxyRequest) forwardPlain(parent context.Context, r *balance.Reservation, x *uplink.Exchange, head Answer, silence *silenceWatch) bool {
+func (p *proxyRequest) forwardPlain(parent context.Context, r *balance.Reservation, x *uplink.Exchange, head ResponseHead, silence *silenceWatch) bool {
 	resp := x.Response
-	header := p.Dialect.Passed(resp.Header)
+	header := p.Codec.CallerHeader(resp.Header)
 	good := resp.StatusCode < http.StatusMultipleChoices
 	limit := maxBufferedBytes
 	if good && resp.ContentLength > maxUnreservedBytes && !p.reserveMemory(min(resp.ContentLength, maxBufferedBytes)) {
 		limit = maxUnreservedBytes // no memory to buffer it: pass it on as it arrives
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, int64(limit)+1))
-	if err == nil && good && (!head.Signed || head.Encoded) {
+	if err == nil && good && (!head.Signed || head.Reencoded) {
 		err = Error.New("the response is unsigned or was re-encoded on the way")
 	}
 	if err == nil && len(body) > limit {
@@ -191,7 +191,7 @@
 		return false
 	}
 	x.Close(true)
-	p.Suspects.Completed(p.work())
+	p.Suspects.RecordCompletion(p.work())
 	response := &bufferedResponse{status: resp.StatusCode, header: header, body: body}
 	if resp.StatusCode >= http.StatusInternalServerError {
 		p.failure = "endpoint_status"
@@ -199,7 +199,7 @@
 		p.endpointFailed(r, balance.Failed, nil)
 		return false
 	}
-	r.Done(p.Now(), balance.Good)
+	r.Done(p.Now(), balance.Succeeded)
 	p.writeBuffered(response)
 	return true
 }
@@ -236,8 +236,8 @@
 		p.checkProcessEnded(parent, r.Endpoint)
 		p.giveUp()
 	}
-	p.Suspects.Completed(p.work())
-	r.Done(p.Now(), balance.Good)
+	p.Suspects.RecordCompletion(p.work())
+	r.Done(p.Now(), balance.Succeeded)
 	p.recordAnswer(x.Response.StatusCode, nil)
 	return true
 }
@@ -252,7 +252,7 @@
 	p.inTime = err == nil && status < http.StatusMultipleChoices && took <= p.route.Target
 	n := p.logLine(eventlog.Answered, "", err)
 	n.Status = status
-	n.First, n.Predicted = p.firstEvent, p.predicted
+	n.TimeToFirst, n.Predicted = p.firstEvent, p.predicted
 	n.Outcome = "late"
 	if p.inTime {
 		n.Outcome = "in_time"
--- a/internal/forward/ending.go
+++ b/internal/forward/ending.go
@@ -101,7 +101,7 @@
 	}
 	if p.route != nil {
 		n.Route = p.route.Name
-		n.Left = p.left()
+		n.TimeLeft = p.left()
 	}
 	if err != nil {
 		n.Detail = err.Error()
