--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -28,7 +28,7 @@
 
 // Options configure a Forwarder.
 type Options struct {
-	Dialect   Dialect
+	Codec     Codec
 	Directory *directory.Directory
 	Balancer  *balance.Balancer
 	Pool      *uplink.Pool
@@ -42,22 +42,22 @@
 	Permits Permits
 	// BodyMemory bounds the bytes of all bodies held in memory at once.
 	BodyMemory int64
-	// Stall is the longest time that one write to a caller may take.
-	Stall time.Duration
+	// WriteTimeout is the longest time that one write to a caller may take.
+	WriteTimeout time.Duration
 	// FindPlace reserves a place at model engines; ReleasePlace frees it.
-	FindPlace    func(context.Context, placement.Ask, residency.Area) (*broker.Place, *placement.Refusal)
-	ReleasePlace func(p *broker.Place, full, failed string, seen *placement.Seen)
-	// BeganAtPlace receives the number of requests that a decode engine reports as running
+	FindPlace    func(context.Context, placement.Request, residency.Area) (*broker.Place, *placement.Refusal)
+	ReleasePlace func(p *broker.Place, full, failed string, seen *placement.Observation)
+	// ReportDecodeStart receives the number of requests that a decode engine reports as running
 	// when it begins to answer. ReadAtPlace receives the same from the prefill engine, and
 	// how long the prefill took.
-	BeganAtPlace func(p *broker.Place, running int)
-	ReadAtPlace  func(p *broker.Place, running int, took time.Duration)
+	ReportDecodeStart func(p *broker.Place, running int)
+	ReportPrefillDone func(p *broker.Place, running int, took time.Duration)
 	// Regions maps each availability zone to its region.
 	Regions map[string]string
 	// Isolated reports whether this instance is cut off from all updates.
 	Isolated func() bool
-	// Gone is called with the ID of an endpoint whose address now belongs to another one.
-	Gone func(id string)
+	// ReportGone is called with the ID of an endpoint whose address now belongs to another one.
+	ReportGone func(id string)
 	// Suspects records which requests crash endpoints.
 	Suspects *suspects.Suspects
 }
@@ -82,12 +82,12 @@
 	return &Forwarder{Options: o, deadlines: deadline.New(o.Now), budgets: map[string]*budget.Budget{}, instances: 1, startedAt: o.Now()}
 }
 
-// Leave makes all further responses ask callers to close their connections.
-func (f *Forwarder) Leave() { f.draining.Store(true) }
+// Drain makes all further responses ask callers to close their connections.
+func (f *Forwarder) Drain() { f.draining.Store(true) }
 
-// RefuseStreams makes the Forwarder refuse streaming requests, which might not end before
+// RefuseStreaming makes the Forwarder refuse streaming requests, which might not end before
 // the process does.
-func (f *Forwarder) RefuseStreams() { f.refuseStreaming.Store(true) }
+func (f *Forwarder) RefuseStreaming() { f.refuseStreaming.Store(true) }
 
 // Resume is called after a suspension of the machine. It ends the requests whose deadlines
 // passed meanwhile and rearms the others.
@@ -96,28 +96,28 @@
 // Running returns the number of requests in progress.
 func (f *Forwarder) Running() int64 { return f.running.Load() }
 
-// Share sets the number of instances that divide the retry budget.
-func (f *Forwarder) Share(instances int) {
+// SetInstances sets the number of instances that divide the retry budget.
+func (f *Forwarder) SetInstances(instances int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.instances = instances
 	for _, b := range f.budgets {
-		b.Share(instances)
+		b.SetShares(instances)
 	}
 }
 
-// Allow replaces the retry budget shared by all instances.
-func (f *Forwarder) Allow(rule budget.Rule) {
+// SetRetryRule replaces the retry budget shared by all instances.
+func (f *Forwarder) SetRetryRule(rule budget.Rule) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.Retry = rule
 	for _, b := range f.budgets {
-		b.Rule(rule)
+		b.SetRule(rule)
 	}
 }
 
-// BudgetLeft returns how many extra sends this instance may still make, by service.
-func (f *Forwarder) BudgetLeft() map[string]float64 {
+// RetryBudgetLeft returns how many extra sends this instance may still make, by service.
+func (f *Forwarder) RetryBudgetLeft() map[string]float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	left := make(map[string]float64, len(f.budgets))
@@ -145,7 +145,7 @@
 	if f.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	p := &proxyRequest{Forwarder: f, w: newTimeoutWriter(w, f.Stall), arrived: f.Now(), view: f.Directory.View(), trail: f.Log.Trail()}
+	p := &proxyRequest{Forwarder: f, w: newTimeoutWriter(w, f.WriteTimeout), arrived: f.Now(), view: f.Directory.View(), trail: f.Log.NewRequestLog()}
 	defer func() { p.trail.End(p.inTime) }()
 	defer p.releaseMemory()
 	if p.admit(r) {
--- a/internal/forward/permits.go
+++ b/internal/forward/permits.go
@@ -25,15 +25,15 @@
 	// Withheld returns the endpoints to which no request of the given priority may go, and
 	// for how long. The caller owns the map.
 	Withheld func(priority int) map[string]time.Duration
-	// Unnamed reports that an endpoint answered successfully without stating a limit, and
+	// ReportNoLimit reports that an endpoint answered successfully without stating a limit, and
 	// when that request was sent.
-	Unnamed func(endpoint string, sent clock.Millis)
+	ReportNoLimit func(endpoint string, sent clock.Millis)
 }
 
 // reserve reserves a slot at an endpoint of a plain service, with a permit if the endpoint
 // has a limit. Endpoints that were passed over for lack of a permit are added to
 // criteria.Withheld.
-func (f *Forwarder) reserve(ctx context.Context, criteria *balance.Ask, priority int) *balance.Reservation {
+func (f *Forwarder) reserve(ctx context.Context, criteria *balance.Request, priority int) *balance.Reservation {
 	criteria.Withheld = f.Permits.Withheld(priority)
 	for {
 		r := f.Balancer.Reserve(f.Now(), f.Directory.View(), *criteria)
@@ -44,7 +44,7 @@
 		if after == 0 {
 			return r
 		}
-		r.Done(f.Now(), balance.Abandoned)
+		r.Done(f.Now(), balance.Canceled)
 		if criteria.Withheld == nil {
 			criteria.Withheld = map[string]time.Duration{}
 		}
@@ -109,8 +109,8 @@
 const reasonLimited = placement.ReasonLimited
 
 // reportNoLimit reports an endpoint that ran the request and stated no limit.
-func (p *proxyRequest) reportNoLimit(e *directory.Endpoint, head Answer, sent clock.Millis) {
-	if !head.Limited && !head.NotRun {
-		p.Permits.Unnamed(e.ID, sent)
+func (p *proxyRequest) reportNoLimit(e *directory.Endpoint, head ResponseHead, sent clock.Millis) {
+	if !head.StatesLimit && !head.NotRun {
+		p.Permits.ReportNoLimit(e.ID, sent)
 	}
 }
--- a/internal/forward/place.go
+++ b/internal/forward/place.go
@@ -34,27 +34,27 @@
 }
 
 // setPlaceWait sets how long the request may wait for a place.
-func (p *proxyRequest) setPlaceWait(req *placement.Ask) {
+func (p *proxyRequest) setPlaceWait(req *placement.Request) {
 	left := p.left()
 	inTime := p.route.Target - p.Now().Sub(p.arrived)
 	switch {
 	case p.headSent: // the caller is waiting in the middle of a stream
-		req.Late, req.Hold = true, min(resumeWait, left/maxWaitDivisor)
+		req.Late, req.QueueTime = true, min(resumeWait, left/maxWaitDivisor)
 	case p.prefill.handle != nil: // the KV cache must not expire
 		req.Budget = min(latePlaceWait, left)
 	default:
 		req.Budget, req.Late = min(max(inTime, 0), left), inTime <= 0
-		req.Hold = min(inTime+extraWaitTargets*p.route.Target, left/maxWaitDivisor)
+		req.QueueTime = min(inTime+extraWaitTargets*p.route.Target, left/maxWaitDivisor)
 	}
 }
 
 // newPlaceRequest returns a request for a place. The suffix must be unique within this request.
-func (p *proxyRequest) newPlaceRequest(suffix string) placement.Ask {
-	return placement.Ask{
+func (p *proxyRequest) newPlaceRequest(suffix string) placement.Request {
+	return placement.Request{
 		ID: p.call.ID + "/" + suffix, Service: p.service, Route: p.route.Name,
-		Prompt: p.call.Prompt, Output: p.call.Hint, Most: p.call.Output,
-		Once:  !p.route.Repeatable() || p.runs+1 >= p.route.Attempts,
-		Final: p.budget(p.service).Left(p.Now()) < 1,
+		Prompt: p.call.PromptTokens, ExpectedTokens: p.call.ExpectedOutputTokens, MaxTokens: p.call.MaxOutputTokens,
+		FinalDecode: !p.route.Repeatable() || p.runs+1 >= p.route.Attempts,
+		Final:       p.budget(p.service).Left(p.Now()) < 1,
 	}
 }
 
@@ -82,7 +82,7 @@
 	switch {
 	case p.prefill.handle != nil:
 		return placement.DecodeOnly
-	case p.prefill.sends >= maxPrefillSends || p.call.Prompt == 0:
+	case p.prefill.sends >= maxPrefillSends || p.call.PromptTokens == 0:
 		return placement.Whole
 	default:
 		return placement.Both
@@ -94,7 +94,7 @@
 // instances may not know about them.
 func (p *proxyRequest) unavailableEngines() []string {
 	withheld := slices.Collect(maps.Keys(p.Permits.Withheld(p.permitPriority())))
-	return slices.Concat(p.Directory.View().Leaving[p.service], p.Balancer.Resting(p.Now()), withheld)
+	return slices.Concat(p.Directory.View().Leaving[p.service], p.Balancer.BackedOff(p.Now()), withheld)
 }
 
 // findEngine returns the engine with the given ID, or nil if the engine is leaving or the
@@ -109,8 +109,8 @@
 		}
 		return e
 	}
-	for _, e := range p.place.New {
-		if e.ID == id && area.Allows(e.Zone) && !p.Directory.Refutes(e) {
+	for _, e := range p.place.NewEngines {
+		if e.ID == id && area.Allows(e.Zone) && !p.Directory.Supersedes(e) {
 			return &e
 		}
 	}
@@ -120,13 +120,13 @@
 // logPlace logs a place and predicts the time of the first event.
 func (p *proxyRequest) logPlace(place *broker.Place) {
 	n := p.logLine(eventlog.Placed, "", nil)
-	n.Endpoint, n.Prefill, n.Zone, n.Wait, n.Count = place.Decode, place.Prefill, place.Zone, place.Wait, int64(place.Used)
+	n.Endpoint, n.Prefill, n.Zone, n.Wait, n.Count = place.Decode, place.Prefill, place.Zone, place.PrefillWait, int64(place.UsedTokens)
 	p.trail.Write(n)
 	if p.headSent {
 		return
 	}
-	p.predicted = p.Now().Sub(p.arrived) + place.Begin
+	p.predicted = p.Now().Sub(p.arrived) + place.FirstEventTime
 	if p.prefill.handle == nil {
-		p.predicted += place.Wait + place.Read
+		p.predicted += place.PrefillWait + place.PrefillTime
 	}
 }
--- a/internal/forward/prefill.go
+++ b/internal/forward/prefill.go
@@ -41,7 +41,7 @@
 
 // prefillState is the state of a prefill on a separate engine.
 type prefillState struct {
-	handle     *Handle // KV cache that waits for a decode engine
+	handle     *KVHandle // KV cache that waits for a decode engine
 	finishedAt clock.Millis
 	engine     string   // ID of the prefill engine
 	sends      int      // of the prompt to prefill engines
@@ -117,12 +117,12 @@
 	if refusal.Reason == placement.ReasonNoZone {
 		p.failure = p.noEndpointReason()
 	}
-	if refusal.Reason == placement.ReasonLimited && p.waitToResume(ctx, refusal.After) {
+	if refusal.Reason == placement.ReasonLimited && p.waitToResume(ctx, refusal.RetryAfter) {
 		return stepRetry
 	}
 	criteria := p.endpointCriteria()
 	criteria.Withheld = p.Permits.Withheld(p.permitPriority())
-	p.setRetryAfter(criteria, refusal.After)
+	p.setRetryAfter(criteria, refusal.RetryAfter)
 	return stepGiveUp
 }
 
@@ -142,11 +142,11 @@
 // engine that closes the connection without a response has usually not fetched the cache, so
 // it is offered to the next decode engine first. Another prefill would wait behind those of
 // other requests and waste the first.
-func (p *proxyRequest) updateHandle(head Answer, err error) {
+func (p *proxyRequest) updateHandle(head ResponseHead, err error) {
 	switch {
 	case err == nil && !head.NotRun:
 		p.prefill.handle = nil // fetched
-	case errors.Is(err, uplink.ErrSevered):
+	case errors.Is(err, uplink.ErrNoResponse):
 		p.prefill.uncertain = true
 	}
 }
@@ -215,7 +215,7 @@
 // full.
 func (p *proxyRequest) anyBackingOff(place *broker.Place) bool {
 	for _, id := range []string{place.Decode, place.Prefill} {
-		if p.Balancer.Rests(p.Now(), id) {
+		if p.Balancer.InBackoff(p.Now(), id) {
 			p.failure, p.fullEngine = "endpoints_rest", id
 			return true
 		}
@@ -225,11 +225,11 @@
 
 // prefillAt sends the prompt to one prefill engine and keeps the handle.
 func (p *proxyRequest) prefillAt(parent context.Context, r *balance.Reservation) {
-	ctx, cancel := context.WithTimeout(parent, prefillTimeoutSlack+prefillTimeoutFactor*p.place.Read+2*p.place.Wait)
+	ctx, cancel := context.WithTimeout(parent, prefillTimeoutSlack+prefillTimeoutFactor*p.place.PrefillTime+2*p.place.PrefillWait)
 	defer cancel()
 	m := p.message
-	m.To, m.Life, m.Rest = r.Endpoint.Address, r.Endpoint.ID, onceMaxIdle
-	m.Header = p.Dialect.Encode(p.call, Send{
+	m.Address, m.EndpointID, m.MaxIdle = r.Endpoint.Address, r.Endpoint.ID, onceMaxIdle
+	m.Header = p.Codec.EncodeHeader(p.call, Send{
 		Endpoint: r.Endpoint, Wait: max(p.left(), 0), Priority: p.priority(), Workspace: p.workspaceName(), Stage: directory.Prefill,
 	})
 	p.prefill.sends++
@@ -242,14 +242,14 @@
 		p.prefill.sends--
 	}
 	if head.HasLoad {
-		r.Told(p.Now(), head.Load)
+		r.ReportLoad(p.Now(), head.Load)
 	}
 	if err == nil {
-		r.Done(p.Now(), balance.Good)
-		p.prefill.handle = &Handle{At: r.Endpoint.Address, Life: r.Endpoint.ID, Zone: r.Endpoint.Zone, ID: id}
+		r.Done(p.Now(), balance.Succeeded)
+		p.prefill.handle = &KVHandle{Address: r.Endpoint.Address, EndpointID: r.Endpoint.ID, Zone: r.Endpoint.Zone, ID: id}
 		p.prefill.finishedAt, p.prefill.uncertain = p.Now(), false
 		p.prefill.engine = r.Endpoint.ID
-		p.ReadAtPlace(p.place, head.Load.Running, p.prefill.finishedAt.Sub(sent))
+		p.ReportPrefillDone(p.place, head.Load.Running, p.prefill.finishedAt.Sub(sent))
 		return
 	}
 	p.prefill.tried = append(p.prefill.tried, r.Endpoint.ID)
@@ -261,14 +261,14 @@
 	result := balance.Failed
 	p.failedEngine = r.Endpoint.ID
 	switch {
-	case head.Other:
-		p.Gone(r.Endpoint.ID)
+	case head.AddressReused:
+		p.ReportGone(r.Endpoint.ID)
 		result = balance.Rejected
 	case head.NotRun:
 		p.fullEngine, p.failedEngine = r.Endpoint.ID, ""
 		result = balance.Rejected
 	case parent.Err() != nil:
-		result = balance.Abandoned
+		result = balance.Canceled
 	case errors.Is(err, uplink.ErrNotSent):
 		result = balance.Unreachable
 	}
@@ -281,11 +281,11 @@
 	}
 }
 
-func (p *proxyRequest) requestPrefill(ctx context.Context, m uplink.Message) (string, Answer, error) {
-	var head Answer
+func (p *proxyRequest) requestPrefill(ctx context.Context, m uplink.Message) (string, ResponseHead, error) {
+	var head ResponseHead
 	x, err := p.Pool.Do(ctx, m, func(resp *http.Response) bool {
-		head = p.Dialect.Read(resp)
-		return head.ID == p.call.ID || head.ID == ""
+		head = p.Codec.ReadHead(resp)
+		return head.RequestID == p.call.ID || head.RequestID == ""
 	})
 	if err != nil {
 		return "", head, err
@@ -299,7 +299,7 @@
 	if x.Response.StatusCode != http.StatusOK || head.NotRun {
 		return "", head, Error.New("the prefill engine responded %s", x.Response.Status)
 	}
-	id, err := p.Dialect.Handle(body)
+	id, err := p.Codec.ReadHandle(body)
 	return id, head, err
 }
 
@@ -312,18 +312,18 @@
 		return
 	}
 	p.prefill.handle, p.prefill.uncertain = nil, false
-	if p.Balancer.Rests(p.Now(), h.Life) || p.Directory.View().Evacuated[h.Zone] {
+	if p.Balancer.InBackoff(p.Now(), h.EndpointID) || p.Directory.View().Evacuated[h.Zone] {
 		return
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), freeTimeout)
 		defer cancel()
-		if p.Permits.Take(ctx, h.Life, permit.Background) > 0 {
+		if p.Permits.Take(ctx, h.EndpointID, permit.BackgroundPriority) > 0 {
 			return
 		}
-		method, target := p.Dialect.Free(*h)
+		method, target := p.Codec.FreeRequest(*h)
 		x, err := p.Pool.Do(ctx, uplink.Message{
-			To: h.At, Life: h.Life, Method: method, Target: target, Host: h.At.String(), Rest: repeatableMaxIdle,
+			Address: h.Address, EndpointID: h.EndpointID, Method: method, Target: target, Host: h.Address.String(), MaxIdle: repeatableMaxIdle,
 		}, func(*http.Response) bool { return true })
 		if err != nil {
 			p.Scope.Counter("handle_free_failed").Inc(1)
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -31,13 +31,13 @@
 // checkProcessEnded is called when an endpoint broke off a run. If the endpoint's process
 // has ended, the request becomes a suspect.
 func (p *proxyRequest) checkProcessEnded(ctx context.Context, e *directory.Endpoint) {
-	if ctx.Err() != nil || !p.Pool.Ended(ctx, e.Address, e.ID) {
+	if ctx.Err() != nil || !p.Pool.ProcessEnded(ctx, e.Address, e.ID) {
 		return
 	}
 	w := p.work()
 	n := p.logLine(eventlog.EndpointEnded, p.failure, nil)
-	n.Endpoint, n.Address, n.Work = e.ID, e.Address.String(), w.Fingerprint().String()
+	n.Endpoint, n.Address, n.Fingerprint = e.ID, e.Address.String(), w.Fingerprint().String()
 	p.trail.Write(n)
 	p.Scope.Counter("endpoints_ended").Inc(1)
-	p.Suspects.Ended(w, e.ID)
+	p.Suspects.RecordEnd(w, e.ID)
 }
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -20,7 +20,7 @@
 	*Forwarder
 	w       *timeoutWriter
 	arrived clock.Millis
-	trail   *eventlog.Trail
+	trail   *eventlog.RequestLog
 	inTime  bool // answered successfully within the route's target
 	view    *directory.View
 	call    Call
@@ -65,12 +65,12 @@
 		p.refuse("out_of_touch", retryAfterElsewhere)
 		return false
 	}
-	call, err := p.Dialect.Decode(r)
+	call, err := p.Codec.DecodeRequest(r)
 	if err != nil {
 		p.reject(http.StatusBadRequest, "malformed", err)
 		return false
 	}
-	p.call, p.lastEventID = call, call.LastEvent
+	p.call, p.lastEventID = call, call.LastEventID
 	match, ok := p.view.Table.Match(r.Host, r.URL.EscapedPath())
 	if !ok {
 		p.reject(http.StatusNotFound, "no_route", Error.New("no route for host %q and path %q", r.Host, r.URL.Path))
@@ -99,7 +99,7 @@
 	if !p.charge() {
 		return false
 	}
-	p.budget(p.service).Request(p.arrived)
+	p.budget(p.service).CountRequest(p.arrived)
 	return true
 }
 
@@ -205,7 +205,7 @@
 		return stepGiveUp
 	}
 	if !p.takeBudget(p.extraSends(false)) {
-		r.Done(p.Now(), balance.Abandoned)
+		r.Done(p.Now(), balance.Canceled)
 		p.Permits.Return(r.Endpoint.ID)
 		return p.budgetSpent()
 	}
@@ -221,15 +221,15 @@
 
 // endpointCriteria returns the criteria for an endpoint that runs the request and has not
 // been tried yet.
-func (p *proxyRequest) endpointCriteria() balance.Ask {
-	return balance.Ask{Service: p.service, Exclude: p.tried, Area: p.allowedArea(), Stage: directory.Decode}
+func (p *proxyRequest) endpointCriteria() balance.Request {
+	return balance.Request{Service: p.service, Exclude: p.tried, Area: p.allowedArea(), Stage: directory.Decode}
 }
 
 // setRetryAfter sets when the caller of a request that cannot be served may retry. If all
 // suitable endpoints back off or have no permit left, that is when the first of them
 // becomes available again.
-func (p *proxyRequest) setRetryAfter(criteria balance.Ask, minimum time.Duration) {
-	backoff, limited := p.Balancer.RestsFor(p.Now(), p.view, criteria)
+func (p *proxyRequest) setRetryAfter(criteria balance.Request, minimum time.Duration) {
+	backoff, limited := p.Balancer.BackoffLeft(p.Now(), p.view, criteria)
 	switch {
 	case limited:
 		p.failure = reasonLimited
--- a/internal/forward/silence.go
+++ b/internal/forward/silence.go
@@ -164,17 +164,17 @@
 func (p *proxyRequest) endpointFinder(ctx context.Context, exclude []string) func() *alternative {
 	service, budget, priority := p.service, p.budget(p.service), p.priority()
 	return func() *alternative {
-		r := p.reserve(ctx, &balance.Ask{Service: service, Exclude: exclude, Area: p.allowedArea(), Stage: directory.Decode}, priority)
+		r := p.reserve(ctx, &balance.Request{Service: service, Exclude: exclude, Area: p.allowedArea(), Stage: directory.Decode}, priority)
 		if r == nil {
 			return nil
 		}
 		if !budget.Take(p.Now(), 1) {
-			r.Done(p.Now(), balance.Abandoned)
+			r.Done(p.Now(), balance.Canceled)
 			p.Permits.Return(r.Endpoint.ID)
 			return nil
 		}
 		return &alternative{reservation: r, paidSends: 1, release: func() {
-			r.Done(p.Now(), balance.Abandoned)
+			r.Done(p.Now(), balance.Canceled)
 			p.Permits.Return(r.Endpoint.ID)
 			budget.Return(p.Now(), 1)
 		}}
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -18,8 +18,8 @@
 
 // forwardStream passes events on as they arrive. It returns false if the stream broke and
 // may resume at another endpoint.
-func (p *proxyRequest) forwardStream(parent context.Context, r *balance.Reservation, x *uplink.Exchange, head Answer, silence *silenceWatch) bool {
-	if !head.Signed || head.Encoded {
+func (p *proxyRequest) forwardStream(parent context.Context, r *balance.Reservation, x *uplink.Exchange, head ResponseHead, silence *silenceWatch) bool {
+	if !head.Signed || head.Reencoded {
 		x.Close(false)
 		p.sendFailed(parent, r, Error.New("the stream is unsigned or was re-encoded on the way"))
 		return false
@@ -38,7 +38,7 @@
 		silence.reset()
 		if !written {
 			x.Close(false)
-			r.Done(p.Now(), balance.Abandoned)
+			r.Done(p.Now(), balance.Canceled)
 			p.trail.Write(p.logLine(eventlog.Cancelled, "caller_left", nil))
 			return true
 		}
@@ -51,7 +51,7 @@
 
 func (p *proxyRequest) writeEvent(x *uplink.Exchange, event []byte) bool {
 	if !p.headSent {
-		copyHeader(p.w.Header(), p.Dialect.Passed(x.Response.Header))
+		copyHeader(p.w.Header(), p.Codec.CallerHeader(x.Response.Header))
 		p.w.WriteHeader(x.Response.StatusCode)
 		p.headSent = true
 		p.firstEvent = max(p.Now().Sub(p.arrived), time.Millisecond)
@@ -76,7 +76,7 @@
 func (p *proxyRequest) streamCutForStall(r *balance.Reservation, err error) {
 	p.failure = "answer_unread"
 	p.Scope.Counter("answers_cut_unread").Inc(1)
-	p.endpointFailed(r, balance.Abandoned, err)
+	p.endpointFailed(r, balance.Canceled, err)
 }
 
 // streamEnded handles the end of an endpoint's stream. The stream is complete only if it
@@ -96,9 +96,9 @@
 		p.writeEvent(x, nil)
 	}
 	x.Close(true)
-	p.Suspects.Completed(p.work())
+	p.Suspects.RecordCompletion(p.work())
 	p.timing.ended = true
-	r.Done(p.Now(), balance.Good)
+	r.Done(p.Now(), balance.Succeeded)
 	p.recordAnswer(x.Response.StatusCode, nil)
 	return true
 }
--- a/internal/forward/timing.go
+++ b/internal/forward/timing.go
@@ -36,15 +36,15 @@
 }
 
 // observation returns what is reported to planners, or nil if no event came.
-func (t *responseTiming) observation() *placement.Seen {
+func (t *responseTiming) observation() *placement.Observation {
 	if t.sentAt == 0 || t.events == 0 {
 		return nil
 	}
-	seen := &placement.Seen{
-		Begin: max(t.first.Sub(t.sentAt), time.Millisecond), Tokens: (t.events - 1) * t.eventTokens, Decoding: t.last.Sub(t.first),
+	seen := &placement.Observation{
+		FirstEventTime: max(t.first.Sub(t.sentAt), time.Millisecond), Tokens: (t.events - 1) * t.eventTokens, DecodeTime: t.last.Sub(t.first),
 	}
 	if t.ended {
-		seen.Ended = t.events * t.eventTokens
+		seen.TotalTokens = t.events * t.eventTokens
 	}
 	return seen
 }
--- a/internal/forward/unavailable_test.go
+++ b/internal/forward/unavailable_test.go
@@ -38,7 +38,7 @@
 	*proxyRequest
 	dials    atomic.Int64 // to endpoints, none of which is reachable
 	withheld map[string]time.Duration
-	asked    []placement.Ask
+	asked    []placement.Request
 }
 
 func newEngineRequest(t *testing.T) *engineRequest {
@@ -70,26 +70,26 @@
 	log := eventlog.Open(io.Discard, "n1")
 	t.Cleanup(func() { c.Check(log.Close(), qt.IsNil) })
 	f := New(Options{
-		Directory: d, Balancer: balance.New("a", nil), Pool: pool, Log: log, Scope: tally.NoopScope, Now: now, Stall: time.Minute,
-		Dialect: Dialect{Free: func(Handle) (string, string) { return "DELETE", "/handle" }},
+		Directory: d, Balancer: balance.New("a", nil), Pool: pool, Log: log, Scope: tally.NoopScope, Now: now, WriteTimeout: time.Minute,
+		Codec: Codec{FreeRequest: func(KVHandle) (string, string) { return "DELETE", "/handle" }},
 		Permits: Permits{
-			Take:     func(_ context.Context, endpoint string, _ int) time.Duration { return g.withheld[endpoint] },
-			Return:   func(string) {},
-			Withheld: func(int) map[string]time.Duration { return g.withheld },
-			Unnamed:  func(string, clock.Millis) {},
+			Take:          func(_ context.Context, endpoint string, _ int) time.Duration { return g.withheld[endpoint] },
+			Return:        func(string) {},
+			Withheld:      func(int) map[string]time.Duration { return g.withheld },
+			ReportNoLimit: func(string, clock.Millis) {},
 		},
-		FindPlace: func(_ context.Context, a placement.Ask, _ residency.Area) (*broker.Place, *placement.Refusal) {
+		FindPlace: func(_ context.Context, a placement.Request, _ residency.Area) (*broker.Place, *placement.Refusal) {
 			g.asked = append(g.asked, a)
 			return &broker.Place{Grant: placement.Grant{Decode: decodeEngine, Prefill: prefillEngine}, Zone: "a"}, nil
 		},
 		Suspects:     suspects.New(suspects.Options{Scope: tally.NoopScope, Now: now}),
-		ReleasePlace: func(*broker.Place, string, string, *placement.Seen) {},
+		ReleasePlace: func(*broker.Place, string, string, *placement.Observation) {},
 	})
 	match, ok := table.Match("h", "/x")
 	c.Assert(ok, qt.IsTrue)
 	g.proxyRequest = &proxyRequest{
-		Forwarder: f, arrived: now(), view: d.View(), trail: log.Trail(), route: match, service: "llm",
-		deadline: now().Add(time.Minute), call: Call{ID: "r1", Prompt: 100, Output: 10},
+		Forwarder: f, arrived: now(), view: d.View(), trail: log.NewRequestLog(), route: match, service: "llm",
+		deadline: now().Add(time.Minute), call: Call{ID: "r1", PromptTokens: 100, MaxOutputTokens: 10},
 	}
 	return g
 }
@@ -99,7 +99,7 @@
 	name            string
 	makeUnavailable func(g *engineRequest, engine string)
 }{
-	{"backing off", func(g *engineRequest, engine string) { g.Balancer.Rest(g.Now(), engine, backoffTime) }},
+	{"backing off", func(g *engineRequest, engine string) { g.Balancer.BackOff(g.Now(), engine, backoffTime) }},
 	{"no permit left", func(g *engineRequest, engine string) { g.withheld[engine] = backoffTime }},
 }
 
@@ -150,11 +150,11 @@
 			c := qt.New(t)
 			g := newEngineRequest(t)
 			test.makeUnavailable(g, prefillEngine)
-			g.prefill.handle = &Handle{At: netip.MustParseAddrPort("127.0.0.1:1"), Life: prefillEngine, ID: "k"}
+			g.prefill.handle = &KVHandle{Address: netip.MustParseAddrPort("127.0.0.1:1"), EndpointID: prefillEngine, ID: "k"}
 			g.freeHandle()
 			time.Sleep(50 * time.Millisecond) // freeing runs in its own goroutine
 			c.Assert(g.dials.Load(), qt.Equals, int64(0))
-			g.prefill.handle = &Handle{At: netip.MustParseAddrPort("127.0.0.1:1"), Life: decodeEngine, ID: "k"}
+			g.prefill.handle = &KVHandle{Address: netip.MustParseAddrPort("127.0.0.1:1"), EndpointID: decodeEngine, ID: "k"}
 			g.freeHandle()
 			for deadline := time.Now().Add(20 * time.Second); g.dials.Load() == 0; time.Sleep(time.Millisecond) {
 				c.Assert(time.Now().Before(deadline), qt.IsTrue)
@@ -190,8 +190,8 @@
 			c.Assert(g.engineStep(t.Context()), qt.Equals, stepRetry)
 			c.Check(asks, qt.Equals, test.asks)
 			c.Check(gotPriority < 0, qt.Equals, test.begun)
-			g.FindPlace = func(context.Context, placement.Ask, residency.Area) (*broker.Place, *placement.Refusal) {
-				return nil, &placement.Refusal{Reason: placement.ReasonLimited, After: test.wait}
+			g.FindPlace = func(context.Context, placement.Request, residency.Area) (*broker.Place, *placement.Refusal) {
+				return nil, &placement.Refusal{Reason: placement.ReasonLimited, RetryAfter: test.wait}
 			}
 			want := stepGiveUp
 			if test.begun && test.wait == short {
@@ -207,7 +207,7 @@
 	c := qt.New(t)
 	g := newEngineRequest(t)
 	g.place = &broker.Place{Grant: placement.Grant{Decode: decodeEngine, Prefill: prefillEngine}}
-	g.Balancer.Rest(g.Now(), prefillEngine, backoffTime)
+	g.Balancer.BackOff(g.Now(), prefillEngine, backoffTime)
 	c.Assert(g.runPrefill(t.Context(), prefillEngine), qt.IsFalse)
 	c.Assert(g.dials.Load(), qt.Equals, int64(0))
 	c.Assert(g.fullEngine, qt.Equals, prefillEngine)
--- a/internal/forward/workspace.go
+++ b/internal/forward/workspace.go
@@ -12,7 +12,7 @@
 type Limiter struct {
 	// Admit counts a request of the given units against the workspace's limit, unless it
 	// would exceed that.
-	Admit func(w *route.Workspace, units float64) admission.Verdict
+	Admit func(w *route.Workspace, units float64) admission.Decision
 	// Credit returns the units of a request that did not run.
 	Credit func(w *route.Workspace, units float64)
 }
@@ -20,7 +20,7 @@
 // identify finds the caller's workspace by its API key. If it returns false, the caller has
 // been answered. The key is neither logged nor returned.
 func (p *proxyRequest) identify() bool {
-	if !p.view.Table.Keyed() {
+	if !p.view.Table.RequiresKey() {
 		return true
 	}
 	if p.call.HasKey {
@@ -41,10 +41,10 @@
 // charge counts the request against the workspace's limit. A request over the limit is
 // refused here, before it takes a place, memory or retry budget.
 func (p *proxyRequest) charge() bool {
-	if p.workspace == nil || !p.workspace.Limit.Bound() {
+	if p.workspace == nil || !p.workspace.Limit.Limited() {
 		return true
 	}
-	units := p.workspace.Limit.Cost(p.call.Prompt+p.call.Output, p.call.Counted)
+	units := p.workspace.Limit.Cost(p.call.PromptTokens+p.call.MaxOutputTokens, p.call.HasTokenCounts)
 	v := p.Limits.Admit(p.workspace, units)
 	p.countWorkspace(v.Admitted)
 	if v.Admitted {
@@ -72,11 +72,11 @@
 }
 
 // refuseOverLimit tells the caller that its workspace is over its limit.
-func (p *proxyRequest) refuseOverLimit(v admission.Verdict) {
+func (p *proxyRequest) refuseOverLimit(v admission.Decision) {
 	p.failure = "over_limit"
 	n := p.logLine(eventlog.Refused, p.failure, nil)
 	n.Age, n.Detail = v.Age, v.String()
-	p.refuseWith(http.StatusTooManyRequests, v.After, n)
+	p.refuseWith(http.StatusTooManyRequests, v.RetryAfter, n)
 }
 
 // priority returns the workspace's priority if it has one, or else the route's.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -42,7 +42,7 @@
 
 // Platform adapts a gateway to the platform on which it runs.
 type Platform struct {
-	Dialect  forward.Dialect
+	Dialect  forward.Codec
 	Source   feed.Source
 	Registry roster.Registry
 	// Duty selects the one instance that gives orders to engines. Order sends an order.
@@ -50,7 +50,7 @@
 	Order func(ctx context.Context, o staging.Order, holder string, fence int64, notify func(notice.Notice)) error
 	// Load requests an engine's load. Load and Order both pass the notices in the
 	// engine's response to notify.
-	Load      func(ctx context.Context, e directory.Endpoint, notify func(notice.Notice)) (placement.Loaded, error)
+	Load      func(ctx context.Context, e directory.Endpoint, notify func(notice.Notice)) (placement.LoadReport, error)
 	Suspects  suspects.Store
 	ReadyPath string
 	Clocks    clock.Source // of the machine
@@ -130,19 +130,19 @@
 	debug.SetGCPercent(gcPercent)
 	g := &Gateway{
 		settings: s, platform: p, log: log, clock: clock.Open(p.Clocks),
-		counters: counters, paces: pace.New(pace.Cautious()),
+		counters: counters, paces: pace.New(pace.ConservativePrior()),
 		directory: directory.New(), balancer: balance.New(s.Instance.Zone, s.Zones),
 	}
 	g.now = g.clock.Now
 	g.started = g.now()
 	g.roster = roster.New(g.now)
 	g.pool = uplink.NewPool(g.counters.Scope, g.now)
-	g.pool.Heard = func(life string, head *http.Response) { g.handleNotice(life, g.platform.Dialect.Notice(head)) }
+	g.pool.OnResponse = func(life string, head *http.Response) { g.handleNotice(life, g.platform.Dialect.ReadNotice(head)) }
 	g.openFeed() // first, because a peer's certificate may arrive as soon as the transport listens
 	if err := g.openPeers(); err != nil {
 		return nil, err
 	}
-	g.member = roster.NewMember(g.platform.Registry, g.self, g.log, g.feed.Heard, g.relay.Watching)
+	g.member = roster.NewMember(g.platform.Registry, g.self, g.log, g.feed.ObserveCall, g.relay.Watching)
 	g.openStaging()
 	g.openSuspects()
 	g.openForwarder()
@@ -163,11 +163,11 @@
 		Name: s.Instance.Name, Zone: s.Instance.Zone, Fingerprint: identity.Fingerprint,
 		Capacity: s.Processor.Capacity(),
 	}
-	g.transport, err = peer.Listen(s.Instance.Name, netip.MustParseAddrPort(s.Peers.Listen), peer.Pinned(identity, g.trusted), scope)
+	g.transport, err = peer.Listen(s.Instance.Name, netip.MustParseAddrPort(s.Peers.Listen), peer.PinnedTLS(identity, g.trusted), scope)
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	g.transport.Queue(peerQueueLength)
+	g.transport.SetQueueLength(peerQueueLength)
 	if s.Peers.Advertise != "" {
 		g.transport.Advertise(netip.MustParseAddrPort(s.Peers.Advertise))
 	}
@@ -175,13 +175,13 @@
 	g.throttle = throttle.New(throttle.Options{
 		Name: s.Instance.Name, Zone: s.Instance.Zone, Transport: g.transport, Roster: g.roster,
 		Log: g.log, Scope: scope, Now: g.now, ZoneOf: g.zoneOf,
-		StoreAway: func() bool { return g.relay.IsLost() },
+		StoreUnreachable: func() bool { return g.relay.IsLost() },
 	})
 	g.broker = broker.New(broker.Options{
 		Name: s.Instance.Name, Zone: s.Instance.Zone, Transport: g.transport, Roster: g.roster,
-		Directory: g.directory, Log: g.log, Scope: scope, Now: g.now, Load: g.fetchLoad, Paces: g.paces, Regions: s.Zones, Spent: g.throttle.Spent,
-		Saw: func(a placement.Ask) {
-			g.staging.Saw(a.Service, a.Prompt, g.paces.Length(a.Service, a.Route, a.Output, a.Most).Mean)
+		Directory: g.directory, Log: g.log, Scope: scope, Now: g.now, FetchLoad: g.fetchLoad, Paces: g.paces, Regions: s.Zones, Exhausted: g.throttle.Exhausted,
+		OnAsk: func(a placement.Request) {
+			g.staging.AddRequest(a.Service, a.Prompt, g.paces.AnswerLength(a.Service, a.Route, a.ExpectedTokens, a.MaxTokens).Mean)
 		},
 	})
 	g.meter = metering.New(metering.Options{
@@ -191,12 +191,12 @@
 	g.relay = relay.New(relay.Options{
 		Name: s.Instance.Name, Transport: g.transport, Roster: g.roster, Directory: g.directory,
 		Zone: s.Instance.Zone, Now: g.now, Log: g.log, Scope: scope, Fresh: freshness.New(s.Freshness.Bound()), Bound: s.Freshness.Bound(),
-		Tell: func(e directory.Event) { g.feed.Tell(e) },
-		Instances: func(seen []roster.Instance, left []roster.Departure, whole bool, revision int64) {
-			g.feed.Take(feed.News{Instances: seen, GoneInstances: left, Complete: whole, Revision: revision})
+		ApplyEvent: func(e directory.Event) { g.feed.Apply(e) },
+		ApplyInstances: func(seen []roster.Instance, left []roster.Removal, whole bool, revision int64) {
+			g.feed.ApplyUpdate(feed.Update{Instances: seen, GoneInstances: left, AllInstances: whole, Revision: revision})
 		},
-		Capacity: s.Processor.Capacity(), Roll: func(ctx context.Context) error { return g.feed.Roll(ctx, s.Instance.Zone) },
-		Head: g.platform.Source.Head, List: func() { g.feed.List() }, CatchUp: func() { g.feed.CatchUp() }, CatchingUp: func() bool { return g.feed.CatchingUp() }, Configure: func() { g.feed.Configure() },
+		Capacity: s.Processor.Capacity(), ReadZone: func(ctx context.Context) error { return g.feed.ReadZone(ctx, s.Instance.Zone) },
+		HeadRevision: g.platform.Source.HeadRevision, List: func() { g.feed.List() }, CatchUp: func() { g.feed.CatchUp() }, CatchingUp: func() bool { return g.feed.CatchingUp() }, Configure: func() { g.feed.Configure() },
 	})
 	return nil
 }
@@ -230,49 +230,49 @@
 	g.feed = feed.New(feed.Options{
 		Source: g.platform.Source, Directory: g.directory, Roster: g.roster, Log: g.log,
 		Scope: g.counters.Scope, Now: g.now, Bound: g.settings.Freshness.Bound(),
-		Changed:  g.rosterChanged,
-		Watching: func() bool { return g.relay.Watching() }, Told: func() { g.relay.Told() },
+		RosterChanged: g.rosterChanged,
+		Watching:      func() bool { return g.relay.Watching() }, Updated: func() { g.relay.Announce() },
 		Lost: func() { g.relay.Lost() }, Regained: func() { g.relay.Regained() },
-		Suspects:   func(n suspects.News) { g.suspects.TakeStored(n) },
-		Warming:    g.endpointCold,
-		ZoneSize:   func() int { return g.relay.ZoneSize() },
-		Progressed: func(entries int) { g.relay.Progressed(entries) },
-		Seed:       func(ctx context.Context) bool { return g.relay.Seed(ctx) },
+		Suspects:     func(n suspects.StoreUpdate) { g.suspects.ApplyStored(n) },
+		EndpointCold: g.endpointCold,
+		ZoneSize:     func() int { return g.relay.ZoneSize() },
+		Progress:     func(entries int) { g.relay.AddProgress(entries) },
+		Seed:         func(ctx context.Context) bool { return g.relay.Seed(ctx) },
 	})
 }
 
 // openStaging creates the parts for giving orders to engines.
 func (g *Gateway) openStaging() {
 	g.duty = &leadership.Leadership{
-		Name: g.settings.Instance.Name, Registry: g.platform.Duty, Gap: g.settings.Orders.Gap,
+		Name: g.settings.Instance.Name, Registry: g.platform.Duty, MinGap: g.settings.Orders.Gap,
 		Log: g.log, Now: g.now,
 		Candidate: func() bool {
-			return g.broker.Plans() && !g.leaving.Load() && g.now().Sub(g.started) >= roster.JoinTime
+			return g.broker.IsPlanner() && !g.leaving.Load() && g.now().Sub(g.started) >= roster.JoinDelay
 		},
 	}
 	g.staging = &staging.Runner{
 		Directory: g.directory, Leadership: g.duty, Send: g.sendOrder,
-		Spared: g.avoids,
-		Closed: func(o staging.Order) { g.broker.Close(o.Endpoint.Zone, o.Endpoint.ID) },
-		Log:    g.log, Scope: g.counters.Scope, Now: g.now, Paces: g.paces,
+		Avoid:         g.avoids,
+		StageChanging: func(o staging.Order) { g.broker.ReportClosed(o.Endpoint.Zone, o.Endpoint.ID) },
+		Log:           g.log, Scope: g.counters.Scope, Now: g.now, Paces: g.paces,
 	}
 }
 
 func (g *Gateway) openForwarder() {
 	s := g.settings
 	g.forwarder = forward.New(forward.Options{
-		Dialect: g.platform.Dialect, Directory: g.directory, Balancer: g.balancer, Pool: g.pool,
+		Codec: g.platform.Dialect, Directory: g.directory, Balancer: g.balancer, Pool: g.pool,
 		Log: g.log, Scope: g.counters.Scope, Now: g.now,
 		Retry:      s.Retry.Rule(),
-		BodyMemory: int64(bodyMemoryFraction * float64(s.Memory.LimitMB<<20)), Stall: s.Callers.Stall,
+		BodyMemory: int64(bodyMemoryFraction * float64(s.Memory.LimitMB<<20)), WriteTimeout: s.Callers.Stall,
 		Limits:    forward.Limiter{Admit: g.meter.Admit, Credit: g.meter.Credit},
-		Permits:   forward.Permits{Take: g.throttle.Take, Return: g.throttle.Return, Withheld: g.throttle.Withheld, Unnamed: g.throttle.Unnamed},
-		FindPlace: g.broker.Find, ReleasePlace: g.broker.Release, BeganAtPlace: g.broker.Began,
-		ReadAtPlace: g.broker.Read,
-		Suspects:    g.suspects, Regions: s.Zones, Isolated: g.isolated,
-		Gone: func(id string) { g.feed.Tell(directory.Denied{ID: id}) },
+		Permits:   forward.Permits{Take: g.throttle.Take, Return: g.throttle.Return, Withheld: g.throttle.Denied, ReportNoLimit: g.throttle.ObserveNoLimit},
+		FindPlace: g.broker.Find, ReleasePlace: g.broker.Release, ReportDecodeStart: g.broker.ReportDecodeStart,
+		ReportPrefillDone: g.broker.ReportPrefillDone,
+		Suspects:          g.suspects, Regions: s.Zones, Isolated: g.isolated,
+		ReportGone: func(id string) { g.feed.Apply(directory.Denied{ID: id}) },
 	})
-	g.forwarder.Share(minShares)
+	g.forwarder.SetInstances(minShares)
 }
 
 // minShares is the minimum number of shares into which the retry allowance is divided,
@@ -283,7 +283,7 @@
 // once. It writes this instance's entry again if it was in the roster and has disappeared
 // or been replaced.
 func (g *Gateway) rosterChanged() {
-	g.forwarder.Share(max(g.roster.Most(), minShares))
+	g.forwarder.SetInstances(max(g.roster.MaxSize(), minShares))
 	if i, known := g.roster.Find(g.self.Name); known && i.Fingerprint == g.self.Fingerprint {
 		return
 	}
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -18,18 +18,18 @@
 func (g *Gateway) handleNotice(life string, n notice.Notice) {
 	if n.Leaving {
 		g.counters.Scope.Counter("answers_leaving").Inc(1)
-		g.feed.Tell(directory.Leaving{ID: life})
+		g.feed.Apply(directory.Leaving{ID: life})
 	}
-	if n.Limit.Named {
+	if n.Limit.Present {
 		g.counters.Scope.Counter("answers_limited").Inc(1)
-		g.throttle.Named(life, n.Limit.Rate)
+		g.throttle.ObserveLimit(life, n.Limit.Rate)
 	}
-	if n.Rest <= 0 {
+	if n.Backoff <= 0 {
 		return
 	}
 	g.counters.Scope.Counter("answers_resting").Inc(1)
-	if g.balancer.Rest(g.now(), life, n.Rest) {
-		g.log.Write(eventlog.Line{Event: eventlog.EndpointRests, Endpoint: life, Wait: n.Rest})
+	if g.balancer.BackOff(g.now(), life, n.Backoff) {
+		g.log.Write(eventlog.Line{Event: eventlog.EndpointRests, Endpoint: life, Wait: n.Backoff})
 	}
 }
 
@@ -37,8 +37,8 @@
 // the engine asked to back off, its zone is evacuated, or its limit is exhausted. If it
 // returns false, it has taken a permit for one call.
 func (g *Gateway) avoids(ctx context.Context, engine *directory.Endpoint) bool {
-	return g.balancer.Rests(g.now(), engine.ID) || g.directory.View().Evacuated[engine.Zone] ||
-		g.throttle.Take(ctx, engine.ID, permit.Background) > 0
+	return g.balancer.InBackoff(g.now(), engine.ID) || g.directory.View().Evacuated[engine.Zone] ||
+		g.throttle.Take(ctx, engine.ID, permit.BackgroundPriority) > 0
 }
 
 // endpointCold limits the rate of a cold endpoint, if its service has such a limit.
@@ -48,7 +48,7 @@
 		return
 	}
 	if s := t.Service(e.Service); s != nil && s.ColdRate > 0 {
-		g.throttle.Warming(e.ID, e.Zone, s.ColdRate, e.Cold)
+		g.throttle.ObserveCold(e.ID, e.Zone, s.ColdRate, e.ColdFor)
 	}
 }
 
@@ -61,9 +61,9 @@
 }
 
 // fetchLoad requests an engine's load, unless the engine is avoided.
-func (g *Gateway) fetchLoad(ctx context.Context, e directory.Endpoint) (placement.Loaded, error) {
+func (g *Gateway) fetchLoad(ctx context.Context, e directory.Endpoint) (placement.LoadReport, error) {
 	if g.avoids(ctx, &e) {
-		return placement.Loaded{}, errAvoided
+		return placement.LoadReport{}, errAvoided
 	}
 	return g.platform.Load(ctx, e, func(n notice.Notice) { g.handleNotice(e.ID, n) })
 }
--- a/internal/gateway/notices_test.go
+++ b/internal/gateway/notices_test.go
@@ -30,9 +30,9 @@
 		setup   func(g *Gateway)
 	}{
 		{"no notice", false, func(*Gateway) {}},
-		{"it asked to back off", true, func(g *Gateway) { g.balancer.Rest(g.now(), engine.ID, time.Second) }},
-		{"its limit is exhausted", true, func(g *Gateway) { g.throttle.Named(engine.ID, 0) }},
-		{"another engine's limit is exhausted", false, func(g *Gateway) { g.throttle.Named("e2", 0) }},
+		{"it asked to back off", true, func(g *Gateway) { g.balancer.BackOff(g.now(), engine.ID, time.Second) }},
+		{"its limit is exhausted", true, func(g *Gateway) { g.throttle.ObserveLimit(engine.ID, 0) }},
+		{"another engine's limit is exhausted", false, func(g *Gateway) { g.throttle.ObserveLimit("e2", 0) }},
 		{"its zone is evacuated", true, func(g *Gateway) {
 			g.directory.Apply(0, directory.Evacuation{Zone: engine.Zone, Revision: 2})
 		}},
@@ -49,19 +49,19 @@
 			calls := 0
 			g := &Gateway{
 				now: now, directory: directory.New(), balancer: balance.New("a", nil), log: log,
-				platform: Platform{Load: func(context.Context, directory.Endpoint, func(notice.Notice)) (placement.Loaded, error) {
+				platform: Platform{Load: func(context.Context, directory.Endpoint, func(notice.Notice)) (placement.LoadReport, error) {
 					calls++
-					return placement.Loaded{}, nil
+					return placement.LoadReport{}, nil
 				}},
 			}
 			g.throttle = throttle.New(throttle.Options{
 				Name: "n1", Zone: "a", Roster: roster.New(now), Log: log, Scope: tally.NoopScope, Now: now,
-				ZoneOf: g.zoneOf, StoreAway: func() bool { return false },
+				ZoneOf: g.zoneOf, StoreUnreachable: func() bool { return false },
 			})
-			g.staging = &staging.Runner{Spared: g.avoids}
+			g.staging = &staging.Runner{Avoid: g.avoids}
 			g.directory.Apply(0, directory.Seen{Endpoint: engine})
 			test.setup(g)
-			c.Check(g.staging.Spared(t.Context(), &engine), qt.Equals, test.avoided)
+			c.Check(g.staging.Avoid(t.Context(), &engine), qt.Equals, test.avoided)
 			_, err := g.fetchLoad(t.Context(), engine)
 			c.Check(err != nil, qt.Equals, test.avoided)
 			c.Check(calls == 0, qt.Equals, test.avoided)
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -65,7 +65,7 @@
 	before := *g.settings
 	g.settings.Retry, g.settings.Stop = next.Retry, next.Stop
 	g.mu.Unlock()
-	g.forwarder.Allow(next.Retry.Rule())
+	g.forwarder.SetRetryRule(next.Retry.Rule())
 	n := eventlog.Line{Event: eventlog.Reloaded, Outcome: "applied"}
 	if before.Callers != next.Callers || before.Peers != next.Peers || before.Admin != next.Admin ||
 		before.Store != next.Store || before.Instance != next.Instance || before.Memory != next.Memory ||
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -117,12 +117,12 @@
 func (g *Gateway) stop() {
 	started := g.now() // the grace period includes time in which the machine is suspended
 	g.leaving.Store(true)
-	g.forwarder.Leave()
+	g.forwarder.Drain()
 	g.member.Change(g.currentEntry())
 	g.log.Write(eventlog.Line{Event: eventlog.Stopping, Reason: "told_to_stop", Count: g.forwarder.Running()})
 	grace := g.grace()
 	time.Sleep(min(streamCutoff, grace*streamCutoffPercent/100))
-	g.forwarder.RefuseStreams()
+	g.forwarder.RefuseStreaming()
 	time.Sleep(min(balancerDelay, grace/2) - g.now().Sub(started))
 	left := grace - g.now().Sub(started) - exitMargin
 	ctx, cancel := context.WithTimeout(context.Background(), left)
@@ -132,8 +132,8 @@
 
 func (g *Gateway) sweep(ctx context.Context) {
 	ticker.Every(ctx, sweepInterval, func() {
-		g.pool.Sweep()
-		g.feed.Tell(directory.Tick{})
+		g.pool.CloseExpired()
+		g.feed.Apply(directory.Tick{})
 		g.balancer.Forget(g.directory.View())
 		g.updateGauges()
 	})
@@ -154,7 +154,7 @@
 	scope.Gauge("endpoints_leaving").Update(float64(v.Size() - v.Ready))
 	scope.Gauge("zones_evacuated").Update(float64(len(v.Evacuated)))
 	scope.Gauge("endpoints_ejected").Update(float64(len(g.balancer.Ejected(g.now()))))
-	for service, left := range g.forwarder.BudgetLeft() {
+	for service, left := range g.forwarder.RetryBudgetLeft() {
 		scope.Tagged(map[string]string{"service": service}).Gauge("budget_left").Update(left)
 	}
 }
--- a/internal/gateway/suspects.go
+++ b/internal/gateway/suspects.go
@@ -16,9 +16,9 @@
 	g.suspects = suspects.New(suspects.Options{
 		Name: g.self.Name, Zone: g.self.Zone, Transport: g.transport, Store: g.platform.Suspects,
 		Scope: g.counters.Scope, Now: g.now, Peers: g.suspectPeers,
-		Watching: func() bool { return g.relay.Watching() },
-		Held:     g.logHeld,
-		Unreadable: func(err error, revision int64) {
+		Watching:     func() bool { return g.relay.Watching() },
+		OnHeldChange: g.logHeld,
+		OnUnreadable: func(err error, revision int64) {
 			g.log.Write(eventlog.Line{Event: eventlog.Unreadable, Detail: err.Error(), Revision: revision})
 		},
 	})
@@ -26,7 +26,7 @@
 
 // logHeld logs that a request is held or was cleared.
 func (g *Gateway) logHeld(r quarantine.Record) {
-	n := eventlog.Line{Event: eventlog.Believed, Work: r.Work.String(), Count: int64(len(r.Ended)), Outcome: "request_cleared"}
+	n := eventlog.Line{Event: eventlog.Believed, Fingerprint: r.Work.String(), Count: int64(len(r.Ended)), Outcome: "request_cleared"}
 	if r.Held() {
 		n.Outcome = "request_held"
 	}
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -47,10 +47,10 @@
 type Leadership struct {
 	Name     string
 	Registry Registry
-	// Gap is the minimum time between the acts of two holders.
-	Gap time.Duration
-	Log *eventlog.Log
-	Now func() clock.Millis
+	// MinGap is the minimum time between the acts of two holders.
+	MinGap time.Duration
+	Log    *eventlog.Log
+	Now    func() clock.Millis
 	// Candidate reports whether this instance should try to acquire the duty.
 	Candidate func() bool
 
@@ -90,14 +90,14 @@
 	}
 	l.mu.Lock()
 	l.lease, l.fence = lease, fence
-	l.actUntil, l.actFrom = began.Add(l.leaseDuration()-stopMargin), l.Now().Add(l.Gap+maxActDelay)
+	l.actUntil, l.actFrom = began.Add(l.leaseDuration()-stopMargin), l.Now().Add(l.MinGap+maxActDelay)
 	l.mu.Unlock()
 	l.Log.Write(eventlog.Line{Event: eventlog.DutyTaken, Revision: fence})
 	return true
 }
 
 // leaseDuration returns the duration of a lease.
-func (l *Leadership) leaseDuration() time.Duration { return max(l.Gap, minLease) }
+func (l *Leadership) leaseDuration() time.Duration { return max(l.MinGap, minLease) }
 
 func (l *Leadership) renew(ctx context.Context) {
 	began := l.Now()
--- a/internal/leadership/leadership_test.go
+++ b/internal/leadership/leadership_test.go
@@ -69,9 +69,9 @@
 			Read: func() (time.Duration, time.Duration) {
 				return time.Hour + time.Duration(monotonic.Load()+suspended.Load()), time.Duration(monotonic.Load())
 			},
-			Asleep: func() (time.Duration, error) { return time.Duration(suspended.Load()), nil },
+			SuspendedTime: func() (time.Duration, error) { return time.Duration(suspended.Load()), nil },
 		})
-		l := &leadership.Leadership{Name: "n1", Registry: s.registry("n1"), Gap: 3 * time.Second, Log: log, Now: now, Candidate: func() bool { return true }}
+		l := &leadership.Leadership{Name: "n1", Registry: s.registry("n1"), MinGap: 3 * time.Second, Log: log, Now: now, Candidate: func() bool { return true }}
 		ctx, cancel := context.WithCancel(t.Context())
 		var group sync.WaitGroup
 		group.Go(func() { l.Run(ctx) })
@@ -101,7 +101,7 @@
 		var all []*leadership.Leadership
 		now := clock.System()
 		for _, name := range []string{"n1", "n2", "n3"} {
-			l := &leadership.Leadership{Name: name, Registry: s.registry(name), Gap: 3 * time.Second, Log: log, Now: now, Candidate: func() bool { return true }}
+			l := &leadership.Leadership{Name: name, Registry: s.registry(name), MinGap: 3 * time.Second, Log: log, Now: now, Candidate: func() bool { return true }}
 			all = append(all, l)
 			group.Go(func() { l.Run(ctx) })
 		}
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -67,7 +67,7 @@
 	mu      sync.Mutex
 	shard   *claim.Shard
 	lastID  int64
-	waiters map[int64]chan claim.Answer
+	waiters map[int64]chan claim.Result
 }
 
 // New returns a ledger without shards.
@@ -77,7 +77,7 @@
 
 // Register adds the handlers for claims from other processes.
 func (l *Ledger) Register(r *message.Router) {
-	peer.Answer(r, l.transport, topicClaim, func(ctx context.Context, _ peer.Sender, q claimRequest) claim.Answer {
+	peer.HandleCall(r, l.transport, topicClaim, func(ctx context.Context, _ peer.Sender, q claimRequest) claim.Result {
 		ctx, cancel := context.WithTimeout(ctx, q.Wait)
 		defer cancel()
 		return l.claimLocal(ctx, q.Claim, q.Wait)
@@ -113,7 +113,7 @@
 
 // Claim sends a claim to the shard's owner, and falls back to this process. It returns
 // Unavailable if neither answers in time.
-func (l *Ledger) Claim(ctx context.Context, c claim.Claim, wait time.Duration) claim.Answer {
+func (l *Ledger) Claim(ctx context.Context, c claim.Claim, wait time.Duration) claim.Result {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	owner, ok := l.owner(c.Key)
@@ -122,7 +122,7 @@
 	}
 	ownerCtx, cancelOwner := context.WithTimeout(ctx, wait/2)
 	defer cancelOwner()
-	answer, err := peer.Ask[claimRequest, claim.Answer](ownerCtx, l.transport, owner, topicClaim, claimRequest{Claim: c, Wait: wait / 2})
+	answer, err := peer.Call[claimRequest, claim.Result](ownerCtx, l.transport, owner, topicClaim, claimRequest{Claim: c, Wait: wait / 2})
 	if err == nil {
 		return l.abandonIfUnavailable(c, answer)
 	}
@@ -134,8 +134,8 @@
 }
 
 // abandonIfUnavailable frees the key of a request that its entry now refuses.
-func (l *Ledger) abandonIfUnavailable(c claim.Claim, a claim.Answer) claim.Answer {
-	if a.Verdict == claim.Unavailable {
+func (l *Ledger) abandonIfUnavailable(c claim.Claim, a claim.Result) claim.Result {
+	if a.Decision == claim.Unavailable {
 		l.Abandon(c)
 	}
 	return a
@@ -163,21 +163,21 @@
 	r.shard.Abandon(a.Key, a.Request)
 }
 
-func (l *Ledger) claimLocal(ctx context.Context, c claim.Claim, wait time.Duration) claim.Answer {
+func (l *Ledger) claimLocal(ctx context.Context, c claim.Claim, wait time.Duration) claim.Result {
 	r := l.shard(c.Key)
-	reply := make(chan claim.Answer, 1)
+	reply := make(chan claim.Result, 1)
 	l.apply(r, func(now clock.Millis) []claim.Effect {
 		r.lastID++
 		r.waiters[r.lastID] = reply
-		return r.shard.Ask(now, r.lastID, c, now.Add(wait))
+		return r.shard.Submit(now, r.lastID, c, now.Add(wait))
 	})
 	l.ticker.Wake()
 	select {
 	case a := <-reply:
-		l.scope.Tagged(map[string]string{"verdict": string(a.Verdict)}).Counter("claims").Inc(1)
+		l.scope.Tagged(map[string]string{"verdict": string(a.Decision)}).Counter("claims").Inc(1)
 		return a
 	case <-ctx.Done():
-		return claim.Answer{Verdict: claim.Unavailable}
+		return claim.Result{Decision: claim.Unavailable}
 	}
 }
 
@@ -187,7 +187,7 @@
 	defer l.mu.Unlock()
 	r, ok := l.shards[number]
 	if !ok {
-		r = &localShard{shard: claim.NewShard(number, l.options.Interval), waiters: map[int64]chan claim.Answer{}}
+		r = &localShard{shard: claim.NewShard(number, l.options.Interval), waiters: map[int64]chan claim.Result{}}
 		l.shards[number] = r
 	}
 	return r
@@ -219,13 +219,13 @@
 // reply delivers the only answer to a waiting caller. The caller of reply holds the
 // shard's lock.
 func (l *Ledger) reply(r *localShard, e claim.Reply) {
-	waiter, ok := r.waiters[e.Ask]
+	waiter, ok := r.waiters[e.Number]
 	if !ok {
 		l.scope.Counter("invariants_violated").Inc(1)
 		return
 	}
-	delete(r.waiters, e.Ask)
-	waiter <- e.Answer
+	delete(r.waiters, e.Number)
+	waiter <- e.Result
 }
 
 func (l *Ledger) load(r *localShard, e claim.Load) {
@@ -249,7 +249,7 @@
 func (l *Ledger) write(r *localShard, e claim.Write) {
 	l.scope.Counter("claim_writes").Inc(1)
 	if e.Segment != "" {
-		_, err := l.store.Put(context.Background(), e.Segment, e.Put, 0)
+		_, err := l.store.Put(context.Background(), e.Segment, e.SegmentValue, 0)
 		if err != nil && !errors.Is(err, platform.ErrConflict) {
 			l.apply(r, r.shard.Failed)
 			return
--- a/internal/member/bench_test.go
+++ b/internal/member/bench_test.go
@@ -35,14 +35,14 @@
 					name := catalog.Cell{Zone: fmt.Sprintf("z%d", z), Serves: fmt.Sprintf("model-%d", s)}
 					h.Cells = append(h.Cells, member.CellStatus{
 						Cell: name, Node: "n000", Address: table.Self().Address, Stamp: w.now,
-						Digest: cell.Digest{Free: 100, Wait: time.Second},
+						Headroom: cell.Headroom{Free: 100, Wait: time.Second},
 					})
 				}
 			}
-			table.Hear(w.now, h)
+			table.Receive(w.now, h)
 			size := 0
 			for b.Loop() {
-				data, err := cbor.Marshal(table.Beat(w.now, 1, nil))
+				data, err := cbor.Marshal(table.NextHeartbeat(w.now, 1, nil))
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -50,7 +50,7 @@
 				if err := cbor.Unmarshal(data, &back); err != nil {
 					b.Fatal(err)
 				}
-				table.Hear(w.now, back)
+				table.Receive(w.now, back)
 				size = len(data)
 			}
 			b.ReportMetric(float64(size), "B/heartbeat")
--- a/internal/member/heartbeat.go
+++ b/internal/member/heartbeat.go
@@ -9,21 +9,21 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// Pulse is the compact form of a member's beat counter. Mark is a hash of the
+// MemberBeat is the compact form of a member's beat counter. Mark is a hash of the
 // member's id and incarnation.
-type Pulse struct {
-	_    struct{} `cbor:",toarray"`
-	Mark uint32
-	Beat int64
+type MemberBeat struct {
+	_      struct{} `cbor:",toarray"`
+	IDHash uint32
+	Beat   int64
 }
 
 // CellStatus is the headroom of a cell as its dispatcher last reported it.
 type CellStatus struct {
-	Cell    catalog.Cell   `cbor:"1,keyasint"`
-	Node    string         `cbor:"2,keyasint"`
-	Address netip.AddrPort `cbor:"3,keyasint"`
-	Stamp   clock.Millis   `cbor:"4,keyasint"` // by the dispatcher's clock
-	Digest  cell.Digest    `cbor:"5,keyasint"`
+	Cell     catalog.Cell   `cbor:"1,keyasint"`
+	Node     string         `cbor:"2,keyasint"`
+	Address  netip.AddrPort `cbor:"3,keyasint"`
+	Stamp    clock.Millis   `cbor:"4,keyasint"` // by the dispatcher's clock
+	Headroom cell.Headroom  `cbor:"5,keyasint"`
 }
 
 // Heartbeat is the message by which processes exchange their views.
@@ -31,12 +31,12 @@
 	From    Member       `cbor:"1,keyasint"`
 	Members []Member     `cbor:"2,keyasint"` // a sample
 	Cells   []CellStatus `cbor:"3,keyasint"`
-	Pulses  []Pulse      `cbor:"4,keyasint"`
+	Beats   []MemberBeat `cbor:"4,keyasint"`
 }
 
-// Beat returns the next heartbeat to send. own are the cells that this process
+// NextHeartbeat returns the next heartbeat to send. own are the cells that this process
 // dispatches.
-func (t *Table) Beat(now clock.Millis, revision int64, own []CellStatus) Heartbeat {
+func (t *Table) NextHeartbeat(now clock.Millis, revision int64, own []CellStatus) Heartbeat {
 	t.self.Beat++
 	t.self.Revision = revision
 	for _, s := range own {
@@ -45,7 +45,7 @@
 	h := Heartbeat{From: t.self, Cells: slices.Clone(own[:min(len(own), maxSampledCells)])}
 	rows := t.Live()
 	t.random.Shuffle(len(rows), func(i, j int) { rows[i], rows[j] = rows[j], rows[i] })
-	h.Pulses = t.beats(rows)
+	h.Beats = t.beats(rows)
 	for _, m := range rows[:min(len(rows), maxSampledMembers)] {
 		if m.ID != t.self.ID {
 			h.Members = append(h.Members, m)
@@ -63,15 +63,15 @@
 
 // beats returns the beats of all members of the own zone and of a sample of the
 // other zones' members.
-func (t *Table) beats(rows []Member) []Pulse {
-	var all []Pulse
+func (t *Table) beats(rows []Member) []MemberBeat {
+	var all []MemberBeat
 	remote := 0
 	for _, m := range rows {
 		if m.Zone != t.self.Zone {
 			remote++
 		}
 		if m.Zone == t.self.Zone || remote <= maxRemoteBeats {
-			all = append(all, Pulse{Mark: m.idHash(), Beat: m.Beat})
+			all = append(all, MemberBeat{IDHash: m.idHash(), Beat: m.Beat})
 		}
 	}
 	return all
--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -91,15 +91,15 @@
 // Leave marks this process as leaving in all further heartbeats.
 func (t *Table) Leave() { t.self.Leaving = true }
 
-// Hear merges a received heartbeat and returns the ids of members that joined.
-func (t *Table) Hear(now clock.Millis, h Heartbeat) (joined []string) {
+// Receive merges a received heartbeat and returns the ids of members that joined.
+func (t *Table) Receive(now clock.Millis, h Heartbeat) (joined []string) {
 	for _, m := range append([]Member{h.From}, h.Members...) {
 		if t.merge(now, m) {
 			joined = append(joined, m.ID)
 		}
 	}
-	for _, p := range h.Pulses {
-		if k, ok := t.byHash[p.Mark]; ok && p.Beat > k.Beat {
+	for _, p := range h.Beats {
+		if k, ok := t.byHash[p.IDHash]; ok && p.Beat > k.Beat {
 			k.Beat, k.receivedAt, k.gone = p.Beat, now, false
 		}
 	}
--- a/internal/member/table_test.go
+++ b/internal/member/table_test.go
@@ -49,7 +49,7 @@
 	if t.frozen[i] || (a != b && (t.partitioned[a] || t.partitioned[b])) {
 		return
 	}
-	t.tables[i].Hear(t.now, h)
+	t.tables[i].Receive(t.now, h)
 }
 
 // run sends the heartbeats of all tables once per interval: to their targets
@@ -62,7 +62,7 @@
 				continue
 			}
 			table.Expire(t.now)
-			h := table.Beat(t.now, 1, nil)
+			h := table.NextHeartbeat(t.now, 1, nil)
 			for _, to := range table.Targets(2) {
 				t.send(i, h, to)
 			}
--- a/internal/metering/metering.go
+++ b/internal/metering/metering.go
@@ -64,7 +64,7 @@
 // statusMessage is what a ledger sends to its zone's instances: the status of each
 // workspace near its limit.
 type statusMessage struct {
-	Statuses []quota.Word `cbor:"1,keyasint"`
+	Statuses []quota.Status `cbor:"1,keyasint"`
 }
 
 // reporter is an instance that sends reports to this one.
@@ -133,7 +133,7 @@
 	peer.Handle(r, m.Transport, topicSums, func(_ peer.Sender, v quota.Sums) {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.ledger.TakeSums(m.Now(), v)
+		m.ledger.AddSums(m.Now(), v)
 	})
 	peer.Handle(r, m.Transport, topicStatus, func(_ peer.Sender, v statusMessage) {
 		m.mu.Lock()
@@ -150,16 +150,16 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.Now()
-	m.ledger.Take(now, r)
+	m.ledger.AddReport(now, r)
 	before := m.reporters[r.Instance]
-	m.reporters[r.Instance] = reporter{address: from.Address, incarnation: r.Life, reportedAt: now}
-	return statusMessage{Statuses: m.ledger.Words()}, m.hasLedger && before.incarnation != r.Life
+	m.reporters[r.Instance] = reporter{address: from.Address, incarnation: r.Incarnation, reportedAt: now}
+	return statusMessage{Statuses: m.ledger.Statuses()}, m.hasLedger && before.incarnation != r.Incarnation
 }
 
 // Admit counts a request of so many units to a workspace, unless it exceeds the
 // workspace's limit.
-func (m *Meter) Admit(w *route.Workspace, units float64) admission.Verdict {
-	instances := m.Roster.Most()
+func (m *Meter) Admit(w *route.Workspace, units float64) admission.Decision {
+	instances := m.Roster.MaxSize()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.gate.Admit(m.Now(), w.Name, limitOf(w), units, instances)
@@ -211,7 +211,7 @@
 	}
 	m.table, m.tableLimits = t, map[string]quota.Limit{}
 	for _, w := range t.Workspaces() {
-		if w.Limit.Bound() {
+		if w.Limit.Limited() {
 			m.tableLimits[w.Name] = limitOf(&w)
 		}
 	}
@@ -222,12 +222,12 @@
 func (m *Meter) report(now clock.Millis, to []roster.Instance) {
 	m.mu.Lock()
 	elapsed := now.Sub(m.reportedAt)
-	if elapsed < reportInterval && !m.gate.Near() {
+	if elapsed < reportInterval && !m.gate.NearLimit() {
 		m.mu.Unlock()
 		return
 	}
 	full := elapsed >= fullReportInterval
-	r := quota.Report{Instance: m.Name, Life: m.incarnation, Age: now.Sub(m.startedAt), Uses: m.gate.Report(full)}
+	r := quota.Report{Instance: m.Name, Incarnation: m.incarnation, Age: now.Sub(m.startedAt), Uses: m.gate.Report(full)}
 	if len(r.Uses) == 0 && !full {
 		m.mu.Unlock()
 		return
@@ -240,7 +240,7 @@
 			continue
 		}
 		m.mu.Lock()
-		m.ledger.Take(now, r)
+		m.ledger.AddReport(now, r)
 		m.mu.Unlock()
 	}
 }
@@ -255,7 +255,7 @@
 	m.logChanges()
 	active := rank == 0 || now.Sub(m.statusReceivedAt) > standbyTimeout
 	w, statusDue := m.nextStatus(now)
-	sumsDue := active && (m.ledger.Near() || now.Sub(m.sumsSentAt) >= sumsInterval)
+	sumsDue := active && (m.ledger.NearLimit() || now.Sub(m.sumsSentAt) >= sumsInterval)
 	var s quota.Sums
 	if sumsDue {
 		m.sumsSentAt = now
@@ -271,7 +271,7 @@
 		m.send(to, topicStatus, w)
 	}
 	if sumsDue {
-		for _, i := range m.Roster.FirstOfOthers(m.Zone, roleLedger, ledgersPerZone) {
+		for _, i := range m.Roster.FirstOfOtherZones(m.Zone, roleLedger, ledgersPerZone) {
 			m.send(i.Address, topicSums, s)
 		}
 	}
@@ -292,16 +292,16 @@
 
 // nextStatus returns the statuses to send now, if they are due.
 func (m *Meter) nextStatus(now clock.Millis) (w statusMessage, due bool) {
-	near := m.ledger.Near()
+	near := m.ledger.NearLimit()
 	if !near && now.Sub(m.statusSentAt) < fullReportInterval {
 		return statusMessage{}, false
 	}
 	m.statusSentAt = now
-	return statusMessage{Statuses: m.ledger.Words()}, true
+	return statusMessage{Statuses: m.ledger.Statuses()}, true
 }
 
-func (m *Meter) membership(all, zone []roster.Instance) quota.Present {
-	p := quota.Present{Zones: map[string]bool{}, Instances: map[string]bool{}, Total: m.Roster.Most()}
+func (m *Meter) membership(all, zone []roster.Instance) quota.Membership {
+	p := quota.Membership{Zones: map[string]bool{}, Instances: map[string]bool{}, Total: m.Roster.MaxSize()}
 	for _, i := range all {
 		p.Zones[i.Zone] = true
 	}
@@ -312,11 +312,11 @@
 }
 
 // applyStatus passes statuses to the gate.
-func (m *Meter) applyStatus(w statusMessage) { m.gate.Hear(m.Now(), w.Statuses) }
+func (m *Meter) applyStatus(w statusMessage) { m.gate.Update(m.Now(), w.Statuses) }
 
 // logChanges logs when a workspace starts or stops being held back.
 func (m *Meter) logChanges() {
-	throttled := m.ledger.Held()
+	throttled := m.ledger.Throttled()
 	for name, used := range throttled {
 		if _, was := m.throttled[name]; !was {
 			m.Log.Write(eventlog.Line{Event: eventlog.Believed, Outcome: "workspace_held_back", Workspace: name, Count: int64(used)})
--- a/internal/metering/metering_test.go
+++ b/internal/metering/metering_test.go
@@ -39,7 +39,7 @@
 		Name: name, Zone: "a", Transport: transport, Roster: roster.New(now), Directory: limitedDirectory(c), Log: log,
 		Scope: tally.NoopScope, Now: now, Window: 8 * time.Second,
 	})
-	n.Roster.See(n.self)
+	n.Roster.Update(n.self)
 	peers.Route(t, n.Register)
 	return n
 }
@@ -71,23 +71,23 @@
 func TestReporterGetsStatus(t *testing.T) {
 	c := qt.New(t)
 	ledger, lapsed := startNode(t, "n1", 2), startNode(t, "n2", 1)
-	lapsed.Roster.See(ledger.self)
-	lapsed.Roster.Remove(roster.Departure{Name: "n2", Revision: 2}) // the other roster never had it
+	lapsed.Roster.Update(ledger.self)
+	lapsed.Roster.Remove(roster.Removal{Name: "n2", Revision: 2}) // the other roster never had it
 	for _, n := range []*node{ledger, lapsed} {
 		n.now.Store(4000) // past the startup time of a gate
 	}
 	ledger.tick()
-	c.Assert(lapsed.Admit(&workspace, 1).Alone, qt.IsTrue)
+	c.Assert(lapsed.Admit(&workspace, 1).Isolated, qt.IsTrue)
 	lapsed.tick()
-	eventually(t, "the instance received a status", func() bool { return !lapsed.Admit(&workspace, 1).Alone })
+	eventually(t, "the instance received a status", func() bool { return !lapsed.Admit(&workspace, 1).Isolated })
 }
 
 // What one instance admits must count on the other.
 func TestUseIsSummed(t *testing.T) {
 	c := qt.New(t)
 	ledger, other := startNode(t, "n1", 2), startNode(t, "n2", 1)
-	other.Roster.See(ledger.self)
-	ledger.Roster.See(other.self)
+	other.Roster.Update(ledger.self)
+	ledger.Roster.Update(other.self)
 	ledger.tick()
 	other.tick()
 	eventually(t, "the instance received a status", func() bool {
@@ -114,8 +114,8 @@
 	c.Assert(err, qt.IsNil)
 	for _, n := range []*node{ledger, other} {
 		n.Directory.Apply(2, directory.Configured{Table: table, Revision: 2})
-		n.Roster.See(ledger.self)
-		n.Roster.See(other.self)
+		n.Roster.Update(ledger.self)
+		n.Roster.Update(other.self)
 		n.now.Store(4000)
 		n.tick()
 	}
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -59,7 +59,7 @@
 		fail(w, http.StatusBadRequest, err)
 		return
 	}
-	table, err := n.desk.Do(r.Context(), s.Text, s.Who, s.Base)
+	table, err := n.desk.Execute(r.Context(), s.Text, s.Who, s.Base)
 	if err != nil {
 		fail(w, statusOf(err), err)
 		return
@@ -72,7 +72,7 @@
 	switch {
 	case errors.As(err, &syntax):
 		return http.StatusBadRequest
-	case errors.Is(err, changelog.ErrRaced):
+	case errors.Is(err, changelog.ErrConflict):
 		return http.StatusConflict
 	case errors.Is(err, changelog.ErrUnavailable):
 		return http.StatusServiceUnavailable
--- a/internal/node/crashing_test.go
+++ b/internal/node/crashing_test.go
@@ -74,7 +74,7 @@
 	c.Check(ended <= maxEnded+maxMoreCalls, qt.IsTrue, qt.Commentf("%d services ended", ended))
 	for _, name := range names {
 		if len(s.Engines[name].Runs()) > 0 {
-			c.Assert(s.StartAgain(name), qt.IsNil)
+			c.Assert(s.RestartEngine(name), qt.IsNil)
 		}
 	}
 	// A new node without records replaces one that has them.
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -32,7 +32,7 @@
 // has a newer revision.
 func (n *Node) handleHeartbeat(_ peer.Sender, h member.Heartbeat) {
 	n.mu.Lock()
-	joined := n.table.Hear(n.now(), h)
+	joined := n.table.Receive(n.now(), h)
 	n.mu.Unlock()
 	for _, id := range joined {
 		n.log.Info().Str("member", id).Msg("member joined")
@@ -48,12 +48,12 @@
 	ctx, cancel := context.WithTimeout(context.Background(), pullTimeout)
 	defer cancel()
 	after := n.changes.Current().Revision
-	delta, err := peer.Ask[changelog.Pull, changelog.Delta](ctx, n.transport, from, topicPull, changelog.Pull{After: after})
+	delta, err := peer.Call[changelog.Pull, changelog.Delta](ctx, n.transport, from, topicPull, changelog.Pull{After: after})
 	if err != nil {
 		n.counters.Scope.Counter("config_pull_failed").Inc(1)
 		return
 	}
-	if err := n.changes.TakeDelta(delta); err != nil {
+	if err := n.changes.ApplyDelta(delta); err != nil {
 		n.log.Warn().Err(err).Msg("configuration from peer not applied")
 	}
 }
@@ -119,7 +119,7 @@
 	own := n.dispatcher.Statuses()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.table.Beat(n.now(), n.changes.Current().Revision, own)
+	return n.table.NextHeartbeat(n.now(), n.changes.Current().Revision, own)
 }
 
 // contact sends a heartbeat to count random addresses, which need not be known members.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -68,8 +68,8 @@
 	entry      *entry.Entry
 	ledger     *ledger.Ledger
 	suspects   *suspects.Suspects
-	desk       *operator.Desk
-	front      *caller.Front
+	desk       *operator.Executor
+	front      *caller.API
 
 	mu      sync.Mutex // guards table
 	table   *member.Table
@@ -82,7 +82,7 @@
 	n := &Node{settings: s, log: log, clock: clock.Open(clock.Machine())}
 	n.now = n.clock.Now
 	n.counters = counter.Open(map[string]string{"node": s.Node.ID, "zone": s.Node.Zone})
-	certificates, err := peer.Certificates(s.Peers.CA, s.Peers.Certificate, s.Peers.Key)
+	certificates, err := peer.LoadTLS(s.Peers.CA, s.Peers.Certificate, s.Peers.Key)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
@@ -108,22 +108,22 @@
 	n.table = member.NewTable(self, s.Peers.GoneAfter, uint64(incarnation))
 	n.store = platform.Connect(s.Platform.AddrPort(), s.Platform.Timeout, scope)
 	n.changes = changelog.New(n.store, scope, n.log)
-	n.changes.Changed = n.configurationChanged
+	n.changes.OnChange = n.configurationChanged
 	client := endpoint.NewClient()
 	notices := notice.NewTable[netip.AddrPort](leavingTimeout)
 	limits := ownpart.New(n.processes)
-	client.Heard = func(at netip.AddrPort, given notice.Notice, good bool, sent time.Time) {
-		limits.Heard(n.now(), at.String(), given.Limit, good, n.now().Add(-time.Since(sent)))
-		if notices.Take(n.now(), at, given) {
-			n.log.Info().Stringer("address", at).Bool("leaving", given.Leaving).Dur("rest", given.Rest).Msg("endpoint accepts no requests for now")
+	client.OnNotice = func(at netip.AddrPort, given notice.Notice, good bool, sent time.Time) {
+		limits.Observe(n.now(), at.String(), given.Limit, good, n.now().Add(-time.Since(sent)))
+		if notices.Record(n.now(), at, given) {
+			n.log.Info().Stringer("address", at).Bool("leaving", given.Leaving).Dur("rest", given.Backoff).Msg("endpoint accepts no requests for now")
 		}
 	}
 	n.dispatcher = dispatcher.New(dispatcher.Options{
-		Node: s.Node.ID, Zone: s.Node.Zone, Listing: s.Dispatch.Listing, Now: n.now, Mine: n.isDispatcher,
+		Node: s.Node.ID, Zone: s.Node.Zone, ReportInterval: s.Dispatch.Listing, Now: n.now, IsDispatcher: n.isDispatcher,
 		Cell: cell.Options{
-			Policy: s.Dispatch.Policy, OwnerExpiry: s.Dispatch.OwnerExpiry, RetryShare: s.Dispatch.RetryShare,
-			Violated: n.invariantViolated,
-			Counted:  func(what string) { scope.Tagged(map[string]string{"what": what}).Counter("decisions").Inc(1) },
+			Policy: s.Dispatch.Policy, OwnerExpiry: s.Dispatch.OwnerExpiry, RetryRatio: s.Dispatch.RetryShare,
+			OnViolation: n.invariantViolated,
+			OnDecision:  func(what string) { scope.Tagged(map[string]string{"what": what}).Counter("decisions").Inc(1) },
 		},
 	}, n.transport, client, scope, n.log)
 	n.ledger = ledger.New(ledger.Options{
@@ -132,8 +132,8 @@
 	n.openSuspects()
 	n.entry = entry.New(entry.Options{
 		Owner: cell.Owner{Node: s.Node.ID, Incarnation: incarnation, Address: n.transport.Address()},
-		Zone:  s.Node.Zone, Announce: s.Dispatch.Announce, OwnerExpiry: s.Dispatch.OwnerExpiry,
-		HeldAnswers: s.Callers.HeldAnswers, Now: n.now, Catalog: n.changes.Current,
+		Zone:  s.Node.Zone, AnnounceInterval: s.Dispatch.Announce, OwnerExpiry: s.Dispatch.OwnerExpiry,
+		MaxHeldAnswers: s.Callers.HeldAnswers, Now: n.now, Catalog: n.changes.Current,
 		Dispatcher: n.dispatcherOf, Cells: n.cells, Status: n.status, Claim: n.ledger.Claim, Abandon: n.ledger.Abandon,
 		Suspects: n.suspects, Notices: notices, Limits: limits,
 	}, n.transport, client, scope)
@@ -151,14 +151,14 @@
 	n.suspects.Register(n.router)
 	n.desk.Register(n.router)
 	peer.Handle(n.router, n.transport, topicHeartbeat, n.handleHeartbeat)
-	peer.Answer(n.router, n.transport, topicPull, func(_ context.Context, _ peer.Sender, p changelog.Pull) changelog.Delta {
+	peer.HandleCall(n.router, n.transport, topicPull, func(_ context.Context, _ peer.Sender, p changelog.Pull) changelog.Delta {
 		return n.changes.Delta(p)
 	})
 }
 
-// Cut drops every message to an address for which lost returns true, to simulate a
+// Partition drops every message to an address for which lost returns true, to simulate a
 // network partition in tests.
-func (n *Node) Cut(lost func(netip.AddrPort) bool) { n.transport.Cut(lost) }
+func (n *Node) Partition(lost func(netip.AddrPort) bool) { n.transport.Partition(lost) }
 
 // Run serves until ctx ends. Then it stops, after waiting for running requests until the
 // drain timeout.
@@ -226,7 +226,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), n.settings.Callers.DrainTimeout)
 	defer cancel()
 	if err := front.Shutdown(ctx); err != nil {
-		n.log.Warn().Int("attempts", n.entry.Attempts()).Msg("drain timeout expired with requests running")
+		n.log.Warn().Int("attempts", n.entry.AttemptCount()).Msg("drain timeout expired with requests running")
 	}
 }
 
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -422,7 +422,7 @@
 			return err == nil && len(members.Rows) == 1+others
 		}
 	}
-	s.Cut(s.Nodes[1])
+	s.Partition(s.Nodes[1])
 	s.Platform.SetFaults(platform.Faults{Outage: true})
 	for i, n := range s.Nodes {
 		until(t, "the zones have lost each other", knows(n, 0))
@@ -434,7 +434,7 @@
 	}
 	c.Assert(len(s.Engines["a-decode"].Runs()) >= 2, qt.IsTrue)
 	c.Assert(len(s.Engines["b-decode"].Runs()) >= 2, qt.IsTrue)
-	s.Cut()
+	s.Partition()
 	s.Platform.SetFaults(platform.Faults{})
 	for _, n := range s.Nodes {
 		until(t, "the zones have found each other", knows(n, 1))
@@ -474,7 +474,7 @@
 		})
 	}
 	time.Sleep(50 * time.Millisecond) // some requests wait, some run
-	s.Nodes[0].Leave()
+	s.Nodes[0].BeginStop()
 	group.Wait()
 	s.Nodes[0].Stop()
 	a, err := completion("after", 5, false).send(context.Background(), second)
@@ -512,8 +512,8 @@
 	s := open(t)
 	tr := &trace.Trace{Header: trace.Header{Name: "test", Classes: []trace.Class{{Name: "gold", TTFTMS: 10_000, TBTMS: 1000}}}}
 	for i := range 60 {
-		r := trace.Request{AtMS: int64(i * 5), Workspace: "w", Class: "gold", Kind: "chat", Model: "llm", Seed: int64(i), Tokens: 200, Out: 20}
-		r.Digest = trace.DigestOf(strings.Join(engine.Answer(r.Prompt(), r.Out), ""))
+		r := trace.Request{AtMS: int64(i * 5), Workspace: "w", Class: "gold", Kind: "chat", Model: "llm", Seed: int64(i), Tokens: 200, OutputTokens: 20}
+		r.Digest = trace.DigestOf(strings.Join(engine.Answer(r.Prompt(), r.OutputTokens), ""))
 		tr.Requests = append(tr.Requests, r)
 	}
 	targets := []netip.AddrPort{netip.MustParseAddrPort(s.Nodes[0].Callers), netip.MustParseAddrPort(s.Nodes[1].Callers)}
--- a/internal/node/notices_test.go
+++ b/internal/node/notices_test.go
@@ -31,7 +31,7 @@
 			t.Parallel() // mostly waiting
 			c := qt.New(t)
 			s, target := openPair(t, role)
-			until(t, "the target gets a request", func() bool { sendRequests(t, s, role); return target.Asked() > 0 })
+			until(t, "the target gets a request", func() bool { sendRequests(t, s, role); return target.WorkRequests() > 0 })
 			target.SetFaults(engine.Faults{Limit: rate})
 			sent, answered := 0, 0
 			sendFor := func(length time.Duration) {
@@ -41,9 +41,9 @@
 				}
 			}
 			sendFor(begins)
-			before := target.Asked()
+			before := target.WorkRequests()
 			sendFor(window)
-			got := target.Asked() - before
+			got := target.WorkRequests() - before
 			c.Check(float64(got) <= allowed, qt.IsTrue, qt.Commentf("%d of %g", got, allowed))
 			c.Check(answered, qt.Equals, sent)
 		})
@@ -101,28 +101,28 @@
 		faults engine.Faults
 	}{
 		{"leaving", engine.Faults{Leaving: true}},
-		{"backoff", engine.Faults{Rest: 60}}, // longer than a test
+		{"backoff", engine.Faults{RetryAfter: 60}}, // longer than a test
 	}
 	for _, role := range []engine.Role{engine.Service, engine.Prefill, engine.Decode} {
 		for _, test := range faults {
 			t.Run(string(role)+", "+test.name, func(t *testing.T) {
 				c := qt.New(t)
 				s, target := openPair(t, role)
-				until(t, "the target gets a request", func() bool { sendRequests(t, s, role); return target.Asked() > 0 })
+				until(t, "the target gets a request", func() bool { sendRequests(t, s, role); return target.WorkRequests() > 0 })
 				target.SetFaults(test.faults)
-				before := target.Asked()
+				before := target.WorkRequests()
 				// The notice may arrive in a report first, and then no request is sent.
 				for range 25 {
-					if sendRequests(t, s, role); target.Asked() > before {
+					if sendRequests(t, s, role); target.WorkRequests() > before {
 						break
 					}
 				}
-				before = target.Asked()
+				before = target.WorkRequests()
 				answered := 0
 				for range 6 {
 					answered += sendRequests(t, s, role)
 				}
-				c.Check(target.Asked()-before, qt.Equals, 0)
+				c.Check(target.WorkRequests()-before, qt.Equals, 0)
 				c.Check(answered, qt.Equals, 24)
 			})
 		}
--- a/internal/node/suspects.go
+++ b/internal/node/suspects.go
@@ -30,10 +30,10 @@
 		Name: n.settings.Node.ID, Zone: n.settings.Node.Zone, Transport: n.transport, Scope: n.counters.Scope, Now: n.now,
 		Store: suspects.Store{Save: n.saveHeld, Remove: n.removeHeld, Read: n.readHeld},
 		Peers: n.suspectPeers, Watching: n.isWatcher,
-		Held: func(r quarantine.Record) {
+		OnHeldChange: func(r quarantine.Record) {
 			n.log.Info().Stringer("work", r.Work).Bool("held", r.Held()).Int("ended", len(r.Ended)).Msg("request held or released")
 		},
-		Unreadable: func(err error, _ int64) { n.log.Warn().Err(err).Msg("cannot read the record of a held request") },
+		OnUnreadable: func(err error, _ int64) { n.log.Warn().Err(err).Msg("cannot read the record of a held request") },
 	})
 }
 
@@ -59,7 +59,7 @@
 }
 
 func (n *Node) listHeld(ctx context.Context) bool {
-	var update suspects.News
+	var update suspects.StoreUpdate
 	after := ""
 	for {
 		page, err := n.store.List(ctx, heldPrefix, after, heldPageSize)
@@ -70,13 +70,13 @@
 		for _, e := range page {
 			stored, err := decodeHeld(e)
 			if err != nil {
-				update.Problems = append(update.Problems, err)
+				update.Errors = append(update.Errors, err)
 				continue
 			}
 			update.Records = append(update.Records, stored)
 		}
 		if len(page) < heldPageSize {
-			n.suspects.TakeStored(update)
+			n.suspects.ApplyStored(update)
 			return true
 		}
 		after = page[len(page)-1].Key
--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -16,14 +16,14 @@
 // Notice is what one response says.
 type Notice struct {
 	Leaving bool          // the endpoint will shut down soon
-	Rest    time.Duration // backoff: how long it wants no requests from this instance
+	Backoff time.Duration // backoff: how long it wants no requests from this instance
 	Limit   Limit
 }
 
 // Limit is how many requests a second an endpoint accepts from all instances together.
 type Limit struct {
-	Named bool // whether a limit was named; if not, Rate has no meaning
-	Rate  float64
+	Present bool // whether a limit was named; if not, Rate has no meaning
+	Rate    float64
 }
 
 // maxRate is the rate, in requests a second, from which on a limit is ignored: all
@@ -37,11 +37,11 @@
 	if err != nil || !(rate >= 0 && rate < maxRate) {
 		return Limit{}
 	}
-	return Limit{Named: true, Rate: rate}
+	return Limit{Present: true, Rate: rate}
 }
 
-// BindsNobody reports whether a rate is so high that it equals no limit.
-func BindsNobody(text string) bool {
+// IsUnlimited reports whether a rate is so high that it equals no limit.
+func IsUnlimited(text string) bool {
 	rate, _ := strconv.ParseFloat(strings.TrimSpace(text), 64) // +Inf on overflow
 	return rate >= maxRate
 }
@@ -50,9 +50,9 @@
 // more than a day is faulty, and should not be lost for good.
 const maxBackoff = 24 * time.Hour
 
-// ReadRest parses the seconds of a response's Retry-After header. A value that is not a
+// ParseRetryAfter parses the seconds of a response's Retry-After header. A value that is not a
 // positive number of seconds requests no backoff.
-func ReadRest(h http.Header) time.Duration {
+func ParseRetryAfter(h http.Header) time.Duration {
 	seconds, err := strconv.ParseFloat(h.Get("Retry-After"), 64)
 	if err != nil || !(seconds > 0) {
 		return 0
@@ -74,10 +74,10 @@
 	return &Table[K]{leavingTime: leavingTime, until: map[K]clock.Millis{}}
 }
 
-// Take records the notice of a response. It returns true if the endpoint wanted
+// Record records the notice of a response. It returns true if the endpoint wanted
 // requests before and wants none now.
-func (t *Table[K]) Take(now clock.Millis, endpoint K, n Notice) (closed bool) {
-	backoff := n.Rest
+func (t *Table[K]) Record(now clock.Millis, endpoint K, n Notice) (closed bool) {
+	backoff := n.Backoff
 	if n.Leaving {
 		backoff = max(backoff, t.leavingTime)
 	}
@@ -106,11 +106,13 @@
 	return list
 }
 
-// Closed reports whether an endpoint currently wants no requests.
-func (t *Table[K]) Closed(now clock.Millis, endpoint K) bool { return t.Left(now, endpoint) > 0 }
+// Unavailable reports whether an endpoint currently wants no requests.
+func (t *Table[K]) Unavailable(now clock.Millis, endpoint K) bool {
+	return t.Remaining(now, endpoint) > 0
+}
 
-// Left returns how long an endpoint will want no requests.
-func (t *Table[K]) Left(now clock.Millis, endpoint K) time.Duration {
+// Remaining returns how long an endpoint will want no requests.
+func (t *Table[K]) Remaining(now clock.Millis, endpoint K) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return max(t.until[endpoint].Sub(now), 0)
--- a/internal/notice/notice_test.go
+++ b/internal/notice/notice_test.go
@@ -26,7 +26,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.text, func(t *testing.T) {
-			qt.Assert(t, notice.ReadRest(http.Header{"Retry-After": {test.text}}), qt.Equals, test.want)
+			qt.Assert(t, notice.ParseRetryAfter(http.Header{"Retry-After": {test.text}}), qt.Equals, test.want)
 		})
 	}
 }
@@ -37,9 +37,9 @@
 		want      notice.Limit
 		unlimited bool
 	}{
-		{"4.2", notice.Limit{Named: true, Rate: 4.2}, false},
-		{" 0 ", notice.Limit{Named: true}, false},
-		{"1e-3", notice.Limit{Named: true, Rate: 0.001}, false},
+		{"4.2", notice.Limit{Present: true, Rate: 4.2}, false},
+		{" 0 ", notice.Limit{Present: true}, false},
+		{"1e-3", notice.Limit{Present: true, Rate: 0.001}, false},
 		{"", notice.Limit{}, false},
 		{"few", notice.Limit{}, false},
 		{"-1", notice.Limit{}, false},
@@ -52,7 +52,7 @@
 	for _, test := range tests {
 		t.Run(test.text, func(t *testing.T) {
 			qt.Check(t, notice.ParseLimit(test.text), qt.Equals, test.want)
-			qt.Check(t, notice.BindsNobody(test.text), qt.Equals, test.unlimited)
+			qt.Check(t, notice.IsUnlimited(test.text), qt.Equals, test.unlimited)
 		})
 	}
 }
@@ -62,24 +62,24 @@
 func TestTable(t *testing.T) {
 	c := qt.New(t)
 	table := notice.NewTable[string](time.Minute)
-	c.Assert(table.Take(1000, "e1", notice.Notice{}), qt.IsFalse)
-	c.Assert(table.Closed(1000, "e1"), qt.IsFalse)
-	c.Assert(table.Take(1000, "e1", notice.Notice{Rest: 3 * time.Second}), qt.IsTrue)
-	c.Assert(table.Take(2000, "e1", notice.Notice{Rest: time.Second}), qt.IsFalse)
-	c.Assert(table.Closed(3999, "e1"), qt.IsTrue)
-	c.Assert(table.Closed(3999, "e2"), qt.IsFalse)
-	c.Assert(table.Closed(4000, "e1"), qt.IsFalse)
-	c.Assert(table.Take(5000, "e1", notice.Notice{Leaving: true}), qt.IsTrue)
-	c.Assert(table.Take(6000, "e1", notice.Notice{Leaving: true, Rest: time.Second}), qt.IsFalse)
-	c.Assert(table.Closed(65_999, "e1"), qt.IsTrue)
+	c.Assert(table.Record(1000, "e1", notice.Notice{}), qt.IsFalse)
+	c.Assert(table.Unavailable(1000, "e1"), qt.IsFalse)
+	c.Assert(table.Record(1000, "e1", notice.Notice{Backoff: 3 * time.Second}), qt.IsTrue)
+	c.Assert(table.Record(2000, "e1", notice.Notice{Backoff: time.Second}), qt.IsFalse)
+	c.Assert(table.Unavailable(3999, "e1"), qt.IsTrue)
+	c.Assert(table.Unavailable(3999, "e2"), qt.IsFalse)
+	c.Assert(table.Unavailable(4000, "e1"), qt.IsFalse)
+	c.Assert(table.Record(5000, "e1", notice.Notice{Leaving: true}), qt.IsTrue)
+	c.Assert(table.Record(6000, "e1", notice.Notice{Leaving: true, Backoff: time.Second}), qt.IsFalse)
+	c.Assert(table.Unavailable(65_999, "e1"), qt.IsTrue)
 	c.Assert(table.All(65_999), qt.DeepEquals, []string{"e1"})
-	c.Assert(table.Closed(66_000, "e1"), qt.IsFalse)
+	c.Assert(table.Unavailable(66_000, "e1"), qt.IsFalse)
 	c.Assert(table.All(66_000), qt.HasLen, 0)
 }
 
 func ExampleTable() {
 	table := notice.NewTable[string](time.Minute)
-	table.Take(0, "bank-1", notice.Notice{Rest: 2 * time.Second})
-	fmt.Println(table.Closed(1000, "bank-1"), table.Closed(2000, "bank-1"))
+	table.Record(0, "bank-1", notice.Notice{Backoff: 2 * time.Second})
+	fmt.Println(table.Unavailable(1000, "bank-1"), table.Unavailable(2000, "bank-1"))
 	// Output: true false
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -42,8 +42,8 @@
 	Cells func() []member.CellStatus
 }
 
-// Desk executes statements of operators.
-type Desk struct {
+// Executor executes statements of operators.
+type Executor struct {
 	options    Options
 	log        *changelog.Log
 	dispatcher *dispatcher.Dispatcher
@@ -51,8 +51,8 @@
 }
 
 // New returns a Desk.
-func New(o Options, l *changelog.Log, d *dispatcher.Dispatcher, t *peer.Transport) *Desk {
-	return &Desk{options: o, log: l, dispatcher: d, transport: t}
+func New(o Options, l *changelog.Log, d *dispatcher.Dispatcher, t *peer.Transport) *Executor {
+	return &Executor{options: o, log: l, dispatcher: d, transport: t}
 }
 
 // rowsRequest asks a process for its own rows or, if WholeZone is set, for those of all
@@ -64,8 +64,8 @@
 }
 
 // Register adds the handler for row requests from other processes.
-func (d *Desk) Register(r *message.Router) {
-	peer.Answer(r, d.transport, topicRows, func(ctx context.Context, _ peer.Sender, req rowsRequest) query.Table {
+func (d *Executor) Register(r *message.Router) {
+	peer.HandleCall(r, d.transport, topicRows, func(ctx context.Context, _ peer.Sender, req rowsRequest) query.Table {
 		if req.WholeZone {
 			return d.zoneRows(ctx, req)
 		}
@@ -73,9 +73,9 @@
 	})
 }
 
-// Do executes one statement for the operator named who. Base is the configuration
+// Execute executes one statement for the operator named who. Base is the configuration
 // revision on which the operator based a command; 0 means the current revision.
-func (d *Desk) Do(ctx context.Context, text, who string, base int64) (query.Table, error) {
+func (d *Executor) Execute(ctx context.Context, text, who string, base int64) (query.Table, error) {
 	s, err := query.Parse(text)
 	if err != nil {
 		return query.Table{}, err
@@ -94,7 +94,7 @@
 	return t, err
 }
 
-func (d *Desk) show(ctx context.Context, s *query.Show) (query.Table, error) {
+func (d *Executor) show(ctx context.Context, s *query.Show) (query.Table, error) {
 	t, err := d.rows(ctx, s.What)
 	if err != nil {
 		return t, err
@@ -103,8 +103,8 @@
 }
 
 // submitCommand submits a command as a change of one aggregate and returns its audit row.
-func (d *Desk) submitCommand(ctx context.Context, s *query.Statement, who string, base int64) (query.Table, error) {
-	ch := catalog.Change{ID: uuid.NewString(), Who: who, When: d.options.Now()}
+func (d *Executor) submitCommand(ctx context.Context, s *query.Statement, who string, base int64) (query.Table, error) {
+	ch := catalog.Change{ID: uuid.NewString(), Actor: who, Time: d.options.Now()}
 	switch {
 	case s.Create != nil:
 		ch.Verb, ch.Noun, ch.Name, ch.To = catalog.VerbCreate, s.Create.Noun, s.Create.Name, assignedFields(s.Create)
@@ -176,7 +176,7 @@
 
 // gather collects rows from all processes: directly in the own zone, and through one
 // process of each other zone.
-func (d *Desk) gather(ctx context.Context, req rowsRequest) query.Table {
+func (d *Executor) gather(ctx context.Context, req rowsRequest) query.Table {
 	byZone := map[string][]member.Member{}
 	for _, m := range d.options.Members() {
 		if m.Zone != d.options.Zone {
@@ -190,7 +190,7 @@
 		queries = append(queries, func() query.Table { return d.askZone(ctx, zone, contacts, zoneReq) })
 	}
 	all := askAll(queries)
-	slices.Sort(all.Unheard)
+	slices.Sort(all.Missing)
 	return all
 }
 
@@ -212,17 +212,17 @@
 }
 
 // askZone returns the rows of another zone from the first of its processes that answers.
-func (d *Desk) askZone(ctx context.Context, zone string, contacts []member.Member, req rowsRequest) query.Table {
+func (d *Executor) askZone(ctx context.Context, zone string, contacts []member.Member, req rowsRequest) query.Table {
 	for _, m := range contacts {
 		if t, err := d.requestRows(ctx, m, req); err == nil {
 			return t
 		}
 	}
-	return query.Table{Unheard: []string{"zone " + zone}}
+	return query.Table{Missing: []string{"zone " + zone}}
 }
 
 // zoneRows collects the rows of all processes in the own zone.
-func (d *Desk) zoneRows(ctx context.Context, req rowsRequest) query.Table {
+func (d *Executor) zoneRows(ctx context.Context, req rowsRequest) query.Table {
 	req.WholeZone = false
 	queries := []func() query.Table{func() query.Table { return d.ownRows(req) }}
 	for _, m := range d.options.Members() {
@@ -232,7 +232,7 @@
 		queries = append(queries, func() query.Table {
 			t, err := d.requestRows(ctx, m, req)
 			if err != nil {
-				return query.Table{Unheard: []string{m.ID}}
+				return query.Table{Missing: []string{m.ID}}
 			}
 			return t
 		})
@@ -240,12 +240,12 @@
 	return askAll(queries)
 }
 
-func (d *Desk) requestRows(ctx context.Context, m member.Member, req rowsRequest) (query.Table, error) {
+func (d *Executor) requestRows(ctx context.Context, m member.Member, req rowsRequest) (query.Table, error) {
 	timeout := rowsTimeout
 	if req.WholeZone {
 		timeout *= 2
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return peer.Ask[rowsRequest, query.Table](ctx, d.transport, m.Address, topicRows, req)
+	return peer.Call[rowsRequest, query.Table](ctx, d.transport, m.Address, topicRows, req)
 }
--- a/internal/operator/rows.go
+++ b/internal/operator/rows.go
@@ -35,7 +35,7 @@
 )
 
 // rows returns the rows of a table for the whole fleet.
-func (d *Desk) rows(ctx context.Context, table string) (query.Table, error) {
+func (d *Executor) rows(ctx context.Context, table string) (query.Table, error) {
 	switch table {
 	case tableRunning, tableWaiting, tableLoad:
 		return d.gather(ctx, rowsRequest{Table: table}), nil
@@ -51,11 +51,11 @@
 			return d.aggregateRows(noun), nil
 		}
 	}
-	return query.Table{}, Error.New("unknown table %q; available tables: %s", table, strings.Join(Shows(), ", "))
+	return query.Table{}, Error.New("unknown table %q; available tables: %s", table, strings.Join(TableNames(), ", "))
 }
 
-// Shows returns the names of all tables that a show statement can list.
-func Shows() []string {
+// TableNames returns the names of all tables that a show statement can list.
+func TableNames() []string {
 	all := []string{tableRunning, tableWaiting, tableLoad, tableCells, tableMembers, tableAudit}
 	for _, noun := range catalog.Nouns() {
 		all = append(all, plural(noun))
@@ -71,10 +71,10 @@
 }
 
 // ownRows returns the rows of the cells that this process dispatches.
-func (d *Desk) ownRows(req rowsRequest) query.Table {
+func (d *Executor) ownRows(req rowsRequest) query.Table {
 	var t query.Table
 	now := d.options.Now()
-	d.dispatcher.Each(func(name catalog.Cell, c *cell.Cell) {
+	d.dispatcher.ForEachCell(func(name catalog.Cell, c *cell.Cell) {
 		switch req.Table {
 		case tableRunning:
 			addRunning(&t, now, name, c)
@@ -100,8 +100,8 @@
 func addWaiting(t *query.Table, now clock.Millis, name catalog.Cell, c *cell.Cell) {
 	t.Columns = waitingColumns
 	for _, w := range c.Waiting(now) {
-		t.Add(name.String(), strconv.Itoa(w.Position), string(w.Ask.Attempt), w.Ask.Workspace, w.Ask.Kind,
-			w.Ask.Class, w.Ask.Owner.Node, now.Sub(w.Since).String(), w.Deadline.Sub(now).String(), "waits for "+w.Why)
+		t.Add(name.String(), strconv.Itoa(w.Position), string(w.Request.Attempt), w.Request.Workspace, w.Request.Kind,
+			w.Request.Class, w.Request.Owner.Node, now.Sub(w.Since).String(), w.Deadline.Sub(now).String(), "waits for "+w.WaitingFor)
 	}
 }
 
@@ -110,9 +110,9 @@
 	for _, s := range c.Endpoints() {
 		state := "open"
 		switch {
-		case s.Heard == 0:
+		case s.ReportedAt == 0:
 			state = "unheard"
-		case s.Silent:
+		case s.Unreachable:
 			state = "silent"
 		case s.Draining:
 			state = "draining"
@@ -120,18 +120,18 @@
 			state = "ejected"
 		}
 		lastReport := "never"
-		if s.Heard > 0 {
-			lastReport = now.Sub(s.Heard).String()
+		if s.ReportedAt > 0 {
+			lastReport = now.Sub(s.ReportedAt).String()
 		}
 		t.Add(s.Name, name.String(), s.Role, state, strconv.Itoa(s.Used), strconv.Itoa(s.Slots),
-			strconv.Itoa(s.Pending), strconv.Itoa(s.Strange), strconv.Itoa(s.Reported), lastReport)
+			strconv.Itoa(s.Pending), strconv.Itoa(s.Orphans), strconv.Itoa(s.ReportedRunning), lastReport)
 	}
 }
 
 func addDecisions(t *query.Table, requestID string, c *cell.Cell) {
 	t.Columns = explainColumns
 	for _, e := range c.Explain(requestID) {
-		t.Add(formatTime(e.At), string(e.Attempt), e.What, e.Terms.Wait.String(), formatDuration(e.Terms.Prefill),
+		t.Add(formatTime(e.At), string(e.Attempt), e.Action, e.Terms.Wait.String(), formatDuration(e.Terms.Prefill),
 			strconv.Itoa(e.Terms.Cached), formatDuration(e.Terms.Link), formatDuration(e.Terms.Step), e.Terms.Budget.String())
 	}
 }
@@ -140,17 +140,17 @@
 
 func formatTime(m clock.Millis) string { return m.Time().Format("2006-01-02T15:04:05.000Z") }
 
-func (d *Desk) cellRows() query.Table {
+func (d *Executor) cellRows() query.Table {
 	t := query.Table{Columns: cellColumns}
 	now := d.options.Now()
 	for _, s := range d.options.Cells() {
-		t.Add(s.Cell.String(), s.Node, strconv.Itoa(s.Digest.Free), strconv.Itoa(s.Digest.Waiting),
-			formatDuration(s.Digest.Wait), now.Sub(s.Stamp).String())
+		t.Add(s.Cell.String(), s.Node, strconv.Itoa(s.Headroom.Free), strconv.Itoa(s.Headroom.Waiting),
+			formatDuration(s.Headroom.Wait), now.Sub(s.Stamp).String())
 	}
 	return t
 }
 
-func (d *Desk) memberRows() query.Table {
+func (d *Executor) memberRows() query.Table {
 	t := query.Table{Columns: memberColumns}
 	for _, m := range d.options.Members() {
 		state := "live"
@@ -162,7 +162,7 @@
 	return t
 }
 
-func (d *Desk) auditRows() query.Table {
+func (d *Executor) auditRows() query.Table {
 	t := query.Table{Columns: auditColumns}
 	for _, ch := range d.log.History() {
 		t.Add(auditRow(ch)...)
@@ -172,7 +172,7 @@
 
 func auditRow(ch catalog.Change) []string {
 	revision := fmt.Sprintf("%6d", ch.Revision)
-	return []string{revision, formatTime(ch.When), ch.Who, ch.Verb, ch.Noun, ch.Name, joinFields(ch.From), joinFields(ch.To)}
+	return []string{revision, formatTime(ch.Time), ch.Actor, ch.Verb, ch.Noun, ch.Name, joinFields(ch.From), joinFields(ch.To)}
 }
 
 func joinFields(fields []catalog.Field) string {
@@ -183,7 +183,7 @@
 	return strings.Join(parts, " ")
 }
 
-func (d *Desk) aggregateRows(noun string) query.Table {
+func (d *Executor) aggregateRows(noun string) query.Table {
 	t := query.Table{Columns: []string{noun}}
 	c := d.log.Current()
 	for _, name := range c.Names(noun) {
--- a/internal/ownpart/limiter.go
+++ b/internal/ownpart/limiter.go
@@ -31,16 +31,16 @@
 	return &Limiter{Processes: processes, table: ratelimit.NewTable(), issuer: permit.New(rand.Float64)}
 }
 
-// Heard records what an endpoint's response to a request said about its limit. ok
+// Observe records what an endpoint's response to a request said about its limit. ok
 // reports whether the response was successful, sent is when the request was sent.
-func (l *Limiter) Heard(now clock.Millis, endpoint string, limit notice.Limit, ok bool, sent clock.Millis) {
+func (l *Limiter) Observe(now clock.Millis, endpoint string, limit notice.Limit, ok bool, sent clock.Millis) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case limit.Named:
-		l.table.Named(now, endpoint, "", limit.Rate)
+	case limit.Present:
+		l.table.ObserveLimit(now, endpoint, "", limit.Rate)
 	case ok:
-		l.table.Unnamed(now, endpoint, sent)
+		l.table.ObserveNoLimit(now, endpoint, sent)
 	}
 }
 
@@ -54,8 +54,8 @@
 	if !limited {
 		return 0
 	}
-	l.issuer.Keep(l.table.Binds)
+	l.issuer.Retain(l.table.IsLimited)
 	n, all := l.Processes()
-	l.issuer.Count(now, n, all)
-	return l.issuer.Ask(now, permit.Ask{Endpoint: endpoint, Rate: rate}).After
+	l.issuer.SetInstances(now, n, all)
+	return l.issuer.Issue(now, permit.Request{Endpoint: endpoint, Rate: rate}).RetryAfter
 }
--- a/internal/ownpart/limiter_test.go
+++ b/internal/ownpart/limiter_test.go
@@ -39,14 +39,14 @@
 			c := qt.New(t)
 			l := ownpart.New(func() (int, bool) { return test.processes, test.all })
 			c.Assert(countAllowed(l, 10_000, time.Second), qt.Equals, 100) // no limit is known
-			l.Heard(11_000, "e1", notice.Limit{Named: true, Rate: 4}, true, 10_900)
+			l.Observe(11_000, "e1", notice.Limit{Present: true, Rate: 4}, true, 10_900)
 			n := countAllowed(l, 11_000, 20*time.Second)
 			c.Assert(n >= test.minSent && n <= test.maxSent, qt.IsTrue, qt.Commentf("%d", n))
-			l.Heard(31_000, "e1", notice.Limit{}, true, 10_900) // sent before the limit was observed
+			l.Observe(31_000, "e1", notice.Limit{}, true, 10_900) // sent before the limit was observed
 			c.Assert(countAllowed(l, 31_000, time.Second) < 10, qt.IsTrue)
-			l.Heard(32_000, "e1", notice.Limit{}, false, 31_000) // not a successful response
+			l.Observe(32_000, "e1", notice.Limit{}, false, 31_000) // not a successful response
 			c.Assert(countAllowed(l, 32_000, time.Second) < 10, qt.IsTrue)
-			l.Heard(33_000, "e1", notice.Limit{}, true, 32_000)
+			l.Observe(33_000, "e1", notice.Limit{}, true, 32_000)
 			c.Assert(countAllowed(l, 33_000, time.Second), qt.Equals, 100)
 		})
 	}
--- a/internal/pace/figure.go
+++ b/internal/pace/figure.go
@@ -7,12 +7,12 @@
 
 // Figure is the fitted line of one quantity, as sent to peers.
 type Figure struct {
-	Service string  `cbor:"1,keyasint"`
-	Act     Act     `cbor:"2,keyasint"`
-	Base    float64 `cbor:"3,keyasint"`
-	Slope   float64 `cbor:"4,keyasint"`
-	Low     float64 `cbor:"5,keyasint"` // a small observed size
-	High    float64 `cbor:"6,keyasint"` // a large one
+	Service  string   `cbor:"1,keyasint"`
+	Quantity Quantity `cbor:"2,keyasint"`
+	Base     float64  `cbor:"3,keyasint"`
+	Slope    float64  `cbor:"4,keyasint"`
+	Low      float64  `cbor:"5,keyasint"` // a small observed size
+	High     float64  `cbor:"6,keyasint"` // a large one
 }
 
 // Figures returns the lines of which this process has made enough observations itself.
@@ -25,23 +25,23 @@
 			continue
 		}
 		e.refit()
-		f := Figure{Service: id.service, Act: id.quantity, Base: e.fit.base, Slope: e.fit.slope}
+		f := Figure{Service: id.service, Quantity: id.quantity, Base: e.fit.base, Slope: e.fit.slope}
 		f.Low, f.High = e.sizeRange()
 		list = append(list, f)
 	}
 	return list
 }
 
-// Tell takes the figures of another instance, which replace earlier ones from the same
+// SetFigures takes the figures of another instance, which replace earlier ones from the same
 // source.
-func (m *Model) Tell(source string, list []Figure) {
+func (m *Model) SetFigures(source string, list []Figure) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, f := range list {
-		if f.Act < 0 || f.Act >= actCount {
+		if f.Quantity < 0 || f.Quantity >= actCount {
 			continue // from a newer version with more quantities
 		}
-		e := m.estimator(f.Service, f.Act)
+		e := m.estimator(f.Service, f.Quantity)
 		if _, known := e.reported[source]; !known && len(e.reported) >= maxPeers {
 			delete(e.reported, slices.Min(slices.Collect(maps.Keys(e.reported))))
 		}
--- a/internal/pace/pace.go
+++ b/internal/pace/pace.go
@@ -15,19 +15,19 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// Act identifies the quantity that an Observation or a Figure measures.
-type Act int
+// Quantity identifies the quantity that an Observation or a Figure measures.
+type Quantity int
 
 // The quantities, each with the size and the outcome of its observations.
 const (
-	Read   Act = iota // prefill at an idle prefill engine: tokens of the prompt, ms until it answers
-	Turn              // prefill of queued prompts: tokens of the prompt, ms from the previous answer
-	Begin             // decode with the KV cache from another engine: tokens of the prompt, ms to the first event
-	Whole             // prefill and decode at one engine: tokens of the prompt, ms to the first event
-	Step              // decode: running requests, ms per token
-	Length            // answers of a route: expected tokens, actual tokens; Engine is the route
-	Prompt            // prompts of a route: 0, tokens
-	Answer            // answers of a route, whatever was expected: 0, tokens
+	PrefillTime      Quantity = iota // prefill at an idle prefill engine: tokens of the prompt, ms until it answers
+	PrefillInterval                  // prefill of queued prompts: tokens of the prompt, ms from the previous answer
+	FirstEventTime                   // decode with the KV cache from another engine: tokens of the prompt, ms to the first event
+	LocalPrefillTime                 // prefill and decode at one engine: tokens of the prompt, ms to the first event
+	TokenTime                        // decode: running requests, ms per token
+	AnswerLength                     // answers of a route: expected tokens, actual tokens; Engine is the route
+	PromptTokens                     // prompts of a route: 0, tokens
+	AnswerTokens                     // answers of a route, whatever was expected: 0, tokens
 	actCount
 )
 
@@ -54,13 +54,13 @@
 // AnyEngine selects the prediction for a typical engine of a service.
 const AnyEngine = ""
 
-// Observation is the outcome of one request. Size and Outcome depend on the [Act].
+// Observation is the outcome of one request. Size and Outcome depend on the [Quantity].
 type Observation struct {
-	Service string
-	Engine  string
-	Act     Act
-	Size    float64
-	Outcome float64
+	Service  string
+	Engine   string
+	Quantity Quantity
+	Size     float64
+	Outcome  float64
 }
 
 // Model holds the estimators of all services. It is safe for concurrent use.
@@ -73,7 +73,7 @@
 
 type key struct {
 	service  string
-	quantity Act
+	quantity Quantity
 }
 
 // New returns a model without observations, which predicts by prior.
@@ -87,69 +87,69 @@
 	if !(o.Size >= 0) || !(o.Outcome > 0) || math.IsInf(o.Size+o.Outcome, 0) {
 		return
 	}
-	if o.Act == Length {
+	if o.Quantity == AnswerLength {
 		o.Size, o.Outcome = logTokens(o.Size), logTokens(o.Outcome)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.estimator(o.Service, o.Act).learn(o.Engine, sample{size: o.Size, outcome: o.Outcome, at: now})
+	m.estimator(o.Service, o.Quantity).learn(o.Engine, sample{size: o.Size, outcome: o.Outcome, at: now})
 }
 
 // Span is a predicted time, as the median and the 90th percentile of requests.
 type Span struct {
-	Likely, Most time.Duration
+	Median, P90 time.Duration
 }
 
-// Span predicts one of the times that depend on the prompt: [Read], [Turn], [Begin] or
-// [Whole].
-func (m *Model) Span(quantity Act, service, engine string, prompt int) Span {
+// Span predicts one of the times that depend on the prompt: [PrefillTime], [PrefillInterval], [FirstEventTime] or
+// [LocalPrefillTime].
+func (m *Model) Span(quantity Quantity, service, engine string, prompt int) Span {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	e := m.estimator(service, quantity)
 	predicted := e.predict(engine, float64(prompt))
-	return Span{Likely: millisToDuration(predicted), Most: millisToDuration(predicted * e.spread())}
+	return Span{Median: millisToDuration(predicted), P90: millisToDuration(predicted * e.spread())}
 }
 
-// Likely returns only the median of [Model.Span], because the cost of the percentile
+// Median returns only the median of [Model.Span], because the cost of the percentile
 // grows with the number of engines.
-func (m *Model) Likely(quantity Act, service, engine string, prompt int) time.Duration {
+func (m *Model) Median(quantity Quantity, service, engine string, prompt int) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return millisToDuration(m.estimator(service, quantity).predict(engine, float64(prompt)))
 }
 
-// Step predicts the time per token at an engine with a number of running requests.
-func (m *Model) Step(service, engine string, running int) time.Duration {
+// TokenTime predicts the time per token at an engine with a number of running requests.
+func (m *Model) TokenTime(service, engine string, running int) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return millisToDuration(m.estimator(service, Step).predict(engine, float64(running)))
+	return millisToDuration(m.estimator(service, TokenTime).predict(engine, float64(running)))
 }
 
 // Tokens is a predicted length, as the median and the mean of answers.
 type Tokens struct {
-	Likely, Mean int
+	Median, Mean int
 }
 
-// Length predicts the length of an answer on a route from the length that the caller
+// AnswerLength predicts the length of an answer on a route from the length that the caller
 // expects, or 0. most is the maximum length, or 0 if unknown.
-func (m *Model) Length(service, route string, expected, most int) Tokens {
+func (m *Model) AnswerLength(service, route string, expected, most int) Tokens {
 	if expected <= 0 {
-		expected = int(m.prior.LengthPart * float64(most))
+		expected = int(m.prior.LengthFraction * float64(most))
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	e := m.estimator(service, Length)
+	e := m.estimator(service, AnswerLength)
 	predicted := math.Exp(e.predict(route, logTokens(float64(expected))))
 	mean := predicted * e.meanRatio()
 	if most > 0 {
 		predicted, mean = min(predicted, float64(most)), min(mean, float64(most))
 	}
-	return Tokens{Likely: int(math.Round(predicted)), Mean: int(math.Round(mean))}
+	return Tokens{Median: int(math.Round(predicted)), Mean: int(math.Round(mean))}
 }
 
-// Usual returns the typical size of a service's prompts or answers in tokens, or false
+// Typical returns the typical size of a service's prompts or answers in tokens, or false
 // if none was observed.
-func (m *Model) Usual(quantity Act, service string) (int, bool) {
+func (m *Model) Typical(quantity Quantity, service string) (int, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	e := m.estimator(service, quantity)
@@ -157,8 +157,8 @@
 	return int(tokens), e.known
 }
 
-// Seen returns the number of observations of a quantity by this process.
-func (m *Model) Seen(service string, quantity Act) int {
+// ObservationCount returns the number of observations of a quantity by this process.
+func (m *Model) ObservationCount(service string, quantity Quantity) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.estimator(service, quantity).observations
@@ -170,17 +170,17 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for id, e := range m.estimators {
-		if id.quantity < Length {
+		if id.quantity < AnswerLength {
 			e.forget(live)
 		}
 	}
 }
 
-func (m *Model) estimator(service string, quantity Act) *estimator {
+func (m *Model) estimator(service string, quantity Quantity) *estimator {
 	id := key{service, quantity}
 	e := m.estimators[id]
 	if e == nil {
-		e = &estimator{prior: m.prior.line(quantity), logarithmic: quantity == Length, engines: map[string]*history{}, reported: map[string]Figure{}}
+		e = &estimator{prior: m.prior.line(quantity), logarithmic: quantity == AnswerLength, engines: map[string]*history{}, reported: map[string]Figure{}}
 		m.estimators[id] = e
 	}
 	return e
--- a/internal/peer/certificates.go
+++ b/internal/peer/certificates.go
@@ -6,10 +6,10 @@
 	"os"
 )
 
-// Certificates returns a mutual TLS configuration from PEM files. Both sides must
+// LoadTLS returns a mutual TLS configuration from PEM files. Both sides must
 // present a certificate signed by the authority in ca. It is not checked against the
 // peer's address, because peers are addressed by IP and their addresses change.
-func Certificates(ca, certificate, key string) (*tls.Config, error) {
+func LoadTLS(ca, certificate, key string) (*tls.Config, error) {
 	pem, err := os.ReadFile(ca)
 	if err != nil {
 		return nil, Error.Wrap(err)
--- a/internal/peer/link_test.go
+++ b/internal/peer/link_test.go
@@ -15,7 +15,7 @@
 	const links, maxBytes = 1000, 2 << 10 // bytes per link, without its goroutine
 	c := qt.New(t)
 	tr := &Transport{scope: tally.NoopScope, links: map[netip.AddrPort]*link{}}
-	tr.Queue(256)
+	tr.SetQueueLength(256)
 	all := make([]*link, links)
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -34,7 +34,7 @@
 func TestLinkQueue(t *testing.T) {
 	c := qt.New(t)
 	tr := &Transport{scope: tally.NoopScope, links: map[netip.AddrPort]*link{}}
-	tr.Queue(3)
+	tr.SetQueueLength(3)
 	l := newLink(tr, netip.AddrPort{})
 	for _, topic := range []string{"a", "b", "c"} {
 		c.Assert(l.push(frame{Topic: topic}), qt.IsNil)
--- a/internal/peer/pinned.go
+++ b/internal/peer/pinned.go
@@ -46,10 +46,10 @@
 	}, nil
 }
 
-// Pinned returns a mutual TLS configuration that verifies peers by fingerprint. trusted
+// PinnedTLS returns a mutual TLS configuration that verifies peers by fingerprint. trusted
 // returns the name of the node whose certificate has a fingerprint, and the certificate
 // must carry that name.
-func Pinned(own Identity, trusted func(fingerprint string) (name string, ok bool)) *tls.Config {
+func PinnedTLS(own Identity, trusted func(fingerprint string) (name string, ok bool)) *tls.Config {
 	verify := func(raw [][]byte, _ [][]*x509.Certificate) error {
 		if len(raw) == 0 {
 			return Error.New("no certificate")
--- a/internal/peer/restart_test.go
+++ b/internal/peer/restart_test.go
@@ -26,7 +26,7 @@
 	own, err := peer.NewIdentity(name)
 	qt.Assert(p.t, err, qt.IsNil)
 	p.names.Store(own.Fingerprint, name)
-	pinned := peer.Pinned(own, func(fingerprint string) (string, bool) {
+	pinned := peer.PinnedTLS(own, func(fingerprint string) (string, bool) {
 		known, ok := p.names.Load(fingerprint)
 		if !ok {
 			return "", false
@@ -34,7 +34,7 @@
 		return known.(string), true
 	})
 	n := openAt(p.t, name, address, pinned, tally.NoopScope, func(n *node) {
-		peer.Answer(n.router, n.Transport, "double", func(_ context.Context, _ peer.Sender, v int) int { return 2 * v })
+		peer.HandleCall(n.router, n.Transport, "double", func(_ context.Context, _ peer.Sender, v int) int { return 2 * v })
 	})
 	p.t.Cleanup(n.close)
 	return n
@@ -43,7 +43,7 @@
 func (p *processes) call(from, to *node) error {
 	ctx, cancel := context.WithTimeout(p.t.Context(), time.Second)
 	defer cancel()
-	got, err := peer.Ask[int, int](ctx, from.Transport, to.Address(), "double", 21)
+	got, err := peer.Call[int, int](ctx, from.Transport, to.Address(), "double", 21)
 	if err == nil {
 		qt.Check(p.t, got, qt.Equals, 42)
 	}
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -113,13 +113,13 @@
 // listening one. It must be called before the first message.
 func (t *Transport) Advertise(address netip.AddrPort) { t.address = address }
 
-// Queue sets how many frames may be queued per address. It must be called before the
+// SetQueueLength sets how many frames may be queued per address. It must be called before the
 // first message.
-func (t *Transport) Queue(frames int) { t.queueLength = frames }
+func (t *Transport) SetQueueLength(frames int) { t.queueLength = frames }
 
-// Cut drops every message to an address for which lost returns true, to simulate a
+// Partition drops every message to an address for which lost returns true, to simulate a
 // network partition in tests.
-func (t *Transport) Cut(lost func(netip.AddrPort) bool) { t.cut.Store(&lost) }
+func (t *Transport) Partition(lost func(netip.AddrPort) bool) { t.cut.Store(&lost) }
 
 // Publish queues messages for the address in their metadata under To and returns. An
 // error means that a message was definitely not sent.
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -31,7 +31,7 @@
 func certificates(t testing.TB, dir, name string, a *cert.Authority) *tls.Config {
 	qt.Assert(t, a.Issue(name), qt.IsNil)
 	file := filepath.Join(dir, name)
-	c, err := peer.Certificates(filepath.Join(dir, "ca.pem"), file+".pem", file+".key")
+	c, err := peer.LoadTLS(filepath.Join(dir, "ca.pem"), file+".pem", file+".key")
 	qt.Assert(t, err, qt.IsNil)
 	return c
 }
@@ -117,7 +117,7 @@
 	received := make(chan long, 2)
 	register := func(n *node) {
 		peer.Handle(n.router, n.Transport, "long", func(_ peer.Sender, v long) { received <- v })
-		peer.Answer(n.router, n.Transport, "again", func(_ context.Context, _ peer.Sender, v long) long { return v })
+		peer.HandleCall(n.router, n.Transport, "again", func(_ context.Context, _ peer.Sender, v long) long { return v })
 	}
 	a := openIn(t, "a", certificates(t, dir, "a", authority), scope, register)
 	defer a.close()
@@ -132,7 +132,7 @@
 	c.Assert(peer.SendAll(a.Transport, []netip.AddrPort{b.Address(), d.Address()}, "long", v), qt.Equals, 0)
 	c.Assert(<-received, qt.DeepEquals, v)
 	c.Assert(<-received, qt.DeepEquals, v)
-	reply, err := peer.Ask[long, long](t.Context(), a.Transport, b.Address(), "again", v)
+	reply, err := peer.Call[long, long](t.Context(), a.Transport, b.Address(), "again", v)
 	c.Assert(err, qt.IsNil)
 	c.Assert(reply, qt.DeepEquals, v)
 	c.Assert(a.Busy(b.Address()), qt.IsFalse)
@@ -152,7 +152,7 @@
 	open := func(name string) *node {
 		n := openIn(t, name, certificates(t, dir, name, authority), scope, func(n *node) {
 			peer.Handle(n.router, n.Transport, "note", func(_ peer.Sender, v note) { received <- v.Number })
-			peer.Answer(n.router, n.Transport, "double", func(_ context.Context, _ peer.Sender, v note) note {
+			peer.HandleCall(n.router, n.Transport, "double", func(_ context.Context, _ peer.Sender, v note) note {
 				return note{Number: 2 * v.Number}
 			})
 		})
@@ -160,12 +160,12 @@
 		return n
 	}
 	a, b := open("a"), open("b")
-	reply, err := peer.Ask[note, note](t.Context(), a.Transport, b.Address(), "double", note{Number: 21})
+	reply, err := peer.Call[note, note](t.Context(), a.Transport, b.Address(), "double", note{Number: 21})
 	c.Assert(err, qt.IsNil)
 	c.Assert(reply.Number, qt.Equals, 42)
 	c.Assert(peer.Send(b.Transport, a.Address(), "note", note{1}), qt.IsNil)
 	c.Assert(<-received, qt.Equals, 1)
-	reply, err = peer.Ask[note, note](t.Context(), b.Transport, a.Address(), "double", note{Number: 4})
+	reply, err = peer.Call[note, note](t.Context(), b.Transport, a.Address(), "double", note{Number: 4})
 	c.Assert(err, qt.IsNil)
 	c.Assert(reply.Number, qt.Equals, 8)
 	c.Assert(scope.Snapshot().Counters()["peer_connections+"].Value(), qt.Equals, int64(1))
@@ -219,7 +219,7 @@
 			got <- v
 			senders <- s
 		})
-		peer.Answer(n.router, n.Transport, "double", func(_ context.Context, _ peer.Sender, v note) note {
+		peer.HandleCall(n.router, n.Transport, "double", func(_ context.Context, _ peer.Sender, v note) note {
 			return note{Number: 2 * v.Number}
 		})
 	})
@@ -233,12 +233,12 @@
 	c.Assert((<-senders).Name, qt.Equals, "client")
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	reply, err := peer.Ask[note, note](ctx, client.Transport, server.Address(), "double", note{Number: 21})
+	reply, err := peer.Call[note, note](ctx, client.Transport, server.Address(), "double", note{Number: 21})
 	c.Assert(err, qt.IsNil)
 	c.Assert(reply.Number, qt.Equals, 42)
 
 	server.close() // a call to a stopped process fails before its deadline
-	_, err = peer.Ask[note, note](ctx, client.Transport, server.Address(), "double", note{Number: 1})
+	_, err = peer.Call[note, note](ctx, client.Transport, server.Address(), "double", note{Number: 1})
 	c.Assert(err, qt.IsNotNil)
 	c.Assert(ctx.Err(), qt.IsNil)
 	client.close()
@@ -254,12 +254,12 @@
 	b, err := cert.NewAuthority(theirs)
 	c.Assert(err, qt.IsNil)
 	server := open(t, "server", certificates(t, ours, "server", a), func(n *node) {
-		peer.Answer(n.router, n.Transport, "double", func(context.Context, peer.Sender, note) note { return note{} })
+		peer.HandleCall(n.router, n.Transport, "double", func(context.Context, peer.Sender, note) note { return note{} })
 	})
 	foreign := open(t, "stranger", certificates(t, theirs, "stranger", b), handleNothing)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	_, err = peer.Ask[note, note](ctx, foreign.Transport, server.Address(), "double", note{})
+	_, err = peer.Call[note, note](ctx, foreign.Transport, server.Address(), "double", note{})
 	c.Assert(err, qt.IsNotNil)
 	c.Assert(ctx.Err(), qt.IsNil)
 	foreign.close()
@@ -282,7 +282,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			_, err := peer.Certificates(test.ca, test.certificate, test.key)
+			_, err := peer.LoadTLS(test.ca, test.certificate, test.key)
 			qt.Assert(t, err, qt.ErrorMatches, test.want)
 		})
 	}
--- a/internal/peer/typed.go
+++ b/internal/peer/typed.go
@@ -66,8 +66,8 @@
 	return unsent
 }
 
-// Ask sends a request as CBOR and decodes the reply.
-func Ask[Q, A any](ctx context.Context, t *Transport, to netip.AddrPort, topic string, request Q) (A, error) {
+// Call sends a request as CBOR and decodes the reply.
+func Call[Q, A any](ctx context.Context, t *Transport, to netip.AddrPort, topic string, request Q) (A, error) {
 	var a A
 	payload, err := cbor.Marshal(request)
 	if err != nil {
@@ -97,15 +97,15 @@
 	})
 }
 
-// Answer adds a handler for requests sent by Ask. Each runs in its own goroutine, so that
+// HandleCall adds a handler for requests sent by Ask. Each runs in its own goroutine, so that
 // a slow one does not delay other messages.
-func Answer[Q, A any](r *message.Router, t *Transport, topic string, do func(context.Context, Sender, Q) A) {
-	AnswerEncoded(r, t, topic, func(ctx context.Context, s Sender, q Q) (Encoded, error) { return Encode(do(ctx, s, q)) })
+func HandleCall[Q, A any](r *message.Router, t *Transport, topic string, do func(context.Context, Sender, Q) A) {
+	HandleCallEncoded(r, t, topic, func(ctx context.Context, s Sender, q Q) (Encoded, error) { return Encode(do(ctx, s, q)) })
 }
 
-// AnswerEncoded is Answer for replies that are shared by many callers and encoded once. If
+// HandleCallEncoded is Answer for replies that are shared by many callers and encoded once. If
 // do returns an error, the request is counted as malformed and gets no reply.
-func AnswerEncoded[Q any](r *message.Router, t *Transport, topic string, do func(context.Context, Sender, Q) (Encoded, error)) {
+func HandleCallEncoded[Q any](r *message.Router, t *Transport, topic string, do func(context.Context, Sender, Q) (Encoded, error)) {
 	r.AddConsumerHandler(topic, topic, t, func(m *message.Message) error {
 		q, ok := decode[Q](t, m)
 		if !ok {
--- a/internal/permit/issuer.go
+++ b/internal/permit/issuer.go
@@ -35,8 +35,8 @@
 
 // Loan is a number of shares of the limits of endpoints.
 type Loan struct {
-	Parts int    `cbor:"1,keyasint"`
-	Zone  string `cbor:"2,keyasint,omitempty"` // zone of the endpoints; empty for all zones
+	Shares int    `cbor:"1,keyasint"`
+	Zone   string `cbor:"2,keyasint,omitempty"` // zone of the endpoints; empty for all zones
 }
 
 // covers reports whether the loan applies to endpoints of zone.
@@ -76,8 +76,8 @@
 	return &Issuer{random: random, borrowed: map[loanKey]activeLoan{}, lent: map[string]activeLoan{}, pools: map[string]*pool{}}
 }
 
-// Count sets how many instances are known now, and whether these are all.
-func (i *Issuer) Count(now clock.Millis, instances int, all bool) {
+// SetInstances sets how many instances are known now, and whether these are all.
+func (i *Issuer) SetInstances(now clock.Millis, instances int, all bool) {
 	i.peak.complete = all
 	i.peak.observe(now, instances)
 }
@@ -86,7 +86,7 @@
 // zone.
 func (i *Issuer) Borrow(now clock.Millis, lender string, l Loan) {
 	k := loanKey{lender, l.Zone}
-	if l.Parts <= 0 {
+	if l.Shares <= 0 {
 		delete(i.borrowed, k)
 		return
 	}
@@ -112,29 +112,29 @@
 	return h.borrower, known && now < h.until
 }
 
-// Own returns what an instance can lend to the first instance of its zone: its own
+// OwnLoan returns what an instance can lend to the first instance of its zone: its own
 // share, unless it recently was the first itself and has lent that share to another
 // zone.
-func (i *Issuer) Own(now clock.Millis) Loan {
+func (i *Issuer) OwnLoan(now clock.Millis) Loan {
 	for zone, h := range i.lent {
 		if zone != "" && now < h.until {
 			return Loan{}
 		}
 	}
-	return Loan{Parts: 1}
+	return Loan{Shares: 1}
 }
 
-// OnLoan returns what the first instance of a zone can lend for endpoints of another
+// CrossZoneLoan returns what the first instance of a zone can lend for endpoints of another
 // zone.
-func (i *Issuer) OnLoan(now clock.Millis, zone string) Loan {
+func (i *Issuer) CrossZoneLoan(now clock.Millis, zone string) Loan {
 	l := Loan{Zone: zone}
 	if _, lent := i.Borrower(now, ""); lent {
 		return l
 	}
-	l.Parts = 1
+	l.Shares = 1
 	for k, h := range i.borrowed {
 		if k.zone == "" && h.until.Sub(now) >= crossZoneLease+leaseGrace {
-			l.Parts += h.Parts
+			l.Shares += h.Shares
 		}
 	}
 	return l
@@ -154,39 +154,39 @@
 		case now >= h.until:
 			delete(i.borrowed, k)
 		case h.covers(zone):
-			shares += h.Parts
+			shares += h.Shares
 		}
 	}
 	return shares
 }
 
-// Background is the priority of background calls, for which no caller waits. They get
+// BackgroundPriority is the priority of background calls, for which no caller waits. They get
 // permits that no request needs.
-const Background = 1000
+const BackgroundPriority = 1000
 
-// Ask is a request for a permit.
-type Ask struct {
+// Request is a request for a permit.
+type Request struct {
 	Endpoint string  `cbor:"1,keyasint"`
 	Zone     string  `cbor:"2,keyasint"` // the endpoint's
 	Rate     float64 `cbor:"3,keyasint"` // the endpoint's limit, in requests a second
 	Priority int     `cbor:"4,keyasint"` // 0 is the most urgent
 }
 
-// Verdict is the response to an Ask.
-type Verdict struct {
-	Granted bool          `cbor:"1,keyasint"`
-	After   time.Duration `cbor:"2,keyasint"` // if denied: time until a permit may be available
+// Decision is the response to an Ask.
+type Decision struct {
+	Granted    bool          `cbor:"1,keyasint"`
+	RetryAfter time.Duration `cbor:"2,keyasint"` // if denied: time until a permit may be available
 }
 
-// Ask issues a permit if one is available.
-func (i *Issuer) Ask(now clock.Millis, a Ask) Verdict {
+// Issue issues a permit if one is available.
+func (i *Issuer) Issue(now clock.Millis, a Request) Decision {
 	p, rate := i.refill(now, a.Endpoint, a.Zone, a.Rate)
 	return p.take(now, rate, a.Priority)
 }
 
-// Spent returns how long no permit is available here for the endpoint of a, or 0 if
+// WaitTime returns how long no permit is available here for the endpoint of a, or 0 if
 // there is one.
-func (i *Issuer) Spent(now clock.Millis, a Ask) time.Duration {
+func (i *Issuer) WaitTime(now clock.Millis, a Request) time.Duration {
 	p, rate := i.refill(now, a.Endpoint, a.Zone, a.Rate)
 	if p.tokens >= 1 {
 		return 0
@@ -208,8 +208,8 @@
 	return p, rate
 }
 
-// Keep removes the pools of endpoints that are no longer limited.
-func (i *Issuer) Keep(limited func(endpoint string) bool) {
+// Retain removes the pools of endpoints that are no longer limited.
+func (i *Issuer) Retain(limited func(endpoint string) bool) {
 	for endpoint := range i.pools {
 		if !limited(endpoint) {
 			delete(i.pools, endpoint)
--- a/internal/permit/main_test.go
+++ b/internal/permit/main_test.go
@@ -10,4 +10,4 @@
 // fleetChecks is the number of simulated fleets with faults that are checked.
 const fleetChecks = 300
 
-func TestMain(m *testing.M) { os.Exit(seed.MainOf(m, fleetChecks)) }
+func TestMain(m *testing.M) { os.Exit(seed.MainWithChecks(m, fleetChecks)) }
--- a/internal/permit/permit_test.go
+++ b/internal/permit/permit_test.go
@@ -213,11 +213,11 @@
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			i := permit.New(func() float64 { return 0 })
-			i.Count(10_000, 1, true)
+			i.SetInstances(10_000, 1, true)
 			var got [2]int
 			for n := range 400 {
 				priority := n % 2
-				if i.Ask(clock.Millis(10_000+50*n), permit.Ask{Endpoint: "e", Rate: test.rate, Priority: priority}).Granted {
+				if i.Issue(clock.Millis(10_000+50*n), permit.Request{Endpoint: "e", Rate: test.rate, Priority: priority}).Granted {
 					got[priority]++
 				}
 			}
@@ -233,10 +233,10 @@
 func TestStartWithoutPeers(t *testing.T) {
 	c := qt.New(t)
 	i := permit.New(func() float64 { return 0.99 })
-	i.Count(0, 1, false)
+	i.SetInstances(0, 1, false)
 	n := 0
 	for now := clock.Millis(0); now < 2900; now += 10 {
-		if i.Ask(now, permit.Ask{Endpoint: "e", Rate: 8}).Granted {
+		if i.Issue(now, permit.Request{Endpoint: "e", Rate: 8}).Granted {
 			n++
 		}
 	}
@@ -247,15 +247,15 @@
 	a, b := permit.New(func() float64 { return 0 }), permit.New(func() float64 { return 0 })
 	now := clock.Millis(60_000)
 	for _, i := range []*permit.Issuer{a, b} {
-		i.Count(now, 2, true)
+		i.SetInstances(now, 2, true)
 	}
-	loan := b.Own(now)
+	loan := b.OwnLoan(now)
 	b.Lend(now, "a", loan)
 	a.Borrow(now, "b", loan)
-	request := permit.Ask{Endpoint: "e", Rate: 2}
-	a.Ask(now, request)
-	b.Ask(now, request)
+	request := permit.Request{Endpoint: "e", Rate: 2}
+	a.Issue(now, request)
+	b.Issue(now, request)
 	now = now.Add(time.Second)
-	fmt.Println(a.Ask(now, request).Granted, a.Ask(now, request).Granted, b.Ask(now, request).Granted)
+	fmt.Println(a.Issue(now, request).Granted, a.Issue(now, request).Granted, b.Issue(now, request).Granted)
 	// Output: true true false
 }
--- a/internal/permit/pool.go
+++ b/internal/permit/pool.go
@@ -19,10 +19,10 @@
 	// reserveTime is how long after a more urgent request was denied one permit is
 	// reserved for the next request of that urgency.
 	reserveTime = time.Second
-	// DenyMost is the longest that a denied requester should wait before it asks again:
+	// MaxDenial is the longest that a denied requester should wait before it asks again:
 	// shares lent meanwhile may yield permits sooner than the shares held at the denial
 	// would.
-	DenyMost = time.Second
+	MaxDenial = time.Second
 	// noShareDelay is the retry delay when the issuer holds no share.
 	noShareDelay = 250 * time.Millisecond
 	// minRetryDelay and maxRetryDelay bound the time after which a denied request may
@@ -59,7 +59,7 @@
 
 // take issues a permit if one is available. The last one is reserved if a more urgent
 // request was denied within reserveTime.
-func (p *pool) take(now clock.Millis, rate float64, priority int) Verdict {
+func (p *pool) take(now clock.Millis, rate float64, priority int) Decision {
 	need := 1.0
 	for other, at := range p.denied {
 		if other < priority && now.Sub(at) < reserveTime {
@@ -68,10 +68,10 @@
 	}
 	if p.tokens >= need {
 		p.tokens--
-		return Verdict{Granted: true}
+		return Decision{Granted: true}
 	}
 	p.denied[priority] = now
-	return Verdict{After: p.waitTime(rate, need)}
+	return Decision{RetryAfter: p.waitTime(rate, need)}
 }
 
 // waitTime returns how long it takes until need tokens are available.
--- a/internal/permit/strategies_test.go
+++ b/internal/permit/strategies_test.go
@@ -97,7 +97,7 @@
 	w := newWorld(1, instances, zones, endpoints, benchRate)
 	of := demand(w)
 	for _, i := range w.instances {
-		i.issuer.Count(w.now, instances, true)
+		i.issuer.SetInstances(w.now, instances, true)
 	}
 	from := w.now.Add(benchWarmup)
 	for w.now < from.Add(benchLength) {
@@ -105,7 +105,7 @@
 		for _, i := range w.instances {
 			for _, l := range w.limits {
 				for n := w.poisson(of(l, i) * step.Seconds()); n > 0; n-- {
-					if i.issuer.Ask(w.now, permit.Ask{Endpoint: l.endpoint, Zone: l.zone, Rate: l.rate}).Granted {
+					if i.issuer.Issue(w.now, permit.Request{Endpoint: l.endpoint, Zone: l.zone, Rate: l.rate}).Granted {
 						w.sent[l.endpoint] = append(w.sent[l.endpoint], w.now)
 					}
 				}
@@ -138,7 +138,7 @@
 		s := &quotaInstance{admission.New(w.now), quota.NewLedger(i.zone, rand.Uint64(), window)}
 		all = append(all, s)
 	}
-	present := quota.Present{Zones: map[string]bool{}, Total: instances}
+	present := quota.Membership{Zones: map[string]bool{}, Total: instances}
 	for _, z := range w.zones {
 		present.Zones[z] = true
 	}
@@ -167,12 +167,12 @@
 // exchange sends the reports of all instances to the first of their zone, which
 // evaluates the limits, sends the result to its zone and exchanges sums with the other
 // zones.
-func (w *world) exchange(all []*quotaInstance, limits map[string]quota.Limit, present quota.Present) {
+func (w *world) exchange(all []*quotaInstance, limits map[string]quota.Limit, present quota.Membership) {
 	first := func(zone string) *quotaInstance { return all[w.first(w.instances[0], zone).index] }
 	for n, i := range w.instances {
-		r := quota.Report{Instance: i.name, Life: uint64(n + 1), Age: time.Hour, Uses: all[n].gate.Report(false)}
+		r := quota.Report{Instance: i.name, Incarnation: uint64(n + 1), Age: time.Hour, Uses: all[n].gate.Report(false)}
 		if len(r.Uses) > 0 || int64(w.now)%400 == 0 {
-			first(i.zone).ledger.Take(w.now, r)
+			first(i.zone).ledger.AddReport(w.now, r)
 			w.countOneWay(r)
 		}
 	}
@@ -184,16 +184,16 @@
 		first(zone).ledger.Step(w.now, limits, present)
 	}
 	for _, zone := range w.zones {
-		statuses, sums := first(zone).ledger.Words(), first(zone).ledger.Sums(w.now)
+		statuses, sums := first(zone).ledger.Statuses(), first(zone).ledger.Sums(w.now)
 		for n, i := range w.instances {
 			if i.zone == zone {
-				all[n].gate.Hear(w.now, statuses)
+				all[n].gate.Update(w.now, statuses)
 				w.countOneWay(statuses)
 			}
 		}
 		for _, other := range w.zones {
 			if other != zone {
-				first(other).ledger.TakeSums(w.now, sums)
+				first(other).ledger.AddSums(w.now, sums)
 				w.countOneWay(sums)
 			}
 		}
--- a/internal/permit/world_test.go
+++ b/internal/permit/world_test.go
@@ -145,23 +145,23 @@
 					w.sent[l.endpoint] = append(w.sent[l.endpoint], w.now)
 					continue
 				}
-				i.denied[l.endpoint] = w.now.Add(min(v.After, permit.DenyMost))
+				i.denied[l.endpoint] = w.now.Add(min(v.RetryAfter, permit.MaxDenial))
 			}
 		}
 	}
 }
 
-func (w *world) requestPermit(i *instance, l limitedEndpoint) permit.Verdict {
-	a := permit.Ask{Endpoint: l.endpoint, Zone: l.zone, Rate: l.rate}
+func (w *world) requestPermit(i *instance, l limitedEndpoint) permit.Decision {
+	a := permit.Request{Endpoint: l.endpoint, Zone: l.zone, Rate: l.rate}
 	for _, zone := range []string{l.zone, i.zone} {
 		f := w.first(i, zone)
 		if f == nil || f == i {
 			break
 		}
-		w.countExchange(a, permit.Verdict{})
+		w.countExchange(a, permit.Decision{})
 		if w.reaches(i, f) {
 			w.updateCount(f)
-			return f.issuer.Ask(w.now, a)
+			return f.issuer.Issue(w.now, a)
 		}
 		i.unresponsive[f] = w.now.Add(probeInterval)
 		if zone == i.zone {
@@ -169,12 +169,12 @@
 		}
 	}
 	w.updateCount(i)
-	return i.issuer.Ask(w.now, a)
+	return i.issuer.Issue(w.now, a)
 }
 
 // updateCount sets the number of instances in an issuer.
 func (w *world) updateCount(i *instance) {
-	i.issuer.Count(w.now, len(w.instances), w.now.Sub(i.startedAt) >= discoveryTime)
+	i.issuer.SetInstances(w.now, len(w.instances), w.now.Sub(i.startedAt) >= discoveryTime)
 }
 
 func (w *world) tick(i *instance) {
@@ -185,7 +185,7 @@
 	w.probe(i)
 	f := w.first(i, i.zone)
 	if f != i {
-		w.lend(i, f, i.issuer.Own(w.now))
+		w.lend(i, f, i.issuer.OwnLoan(w.now))
 		return
 	}
 	if !w.giveBack(i, "") {
@@ -195,7 +195,7 @@
 	for _, l := range w.limits {
 		if !seen[l.zone] {
 			seen[l.zone] = true
-			w.lend(i, w.first(i, l.zone), i.issuer.OnLoan(w.now, l.zone))
+			w.lend(i, w.first(i, l.zone), i.issuer.CrossZoneLoan(w.now, l.zone))
 		}
 	}
 }
@@ -215,7 +215,7 @@
 }
 
 func (w *world) lend(i, to *instance, l permit.Loan) {
-	if to == nil || l.Parts == 0 {
+	if to == nil || l.Shares == 0 {
 		return
 	}
 	if holder, lent := i.issuer.Borrower(w.now, l.Zone); lent && holder != to.name {
--- a/internal/placement/alone_test.go
+++ b/internal/placement/alone_test.go
@@ -20,10 +20,10 @@
 	prefilled, decoded := map[string]int{}, map[string]int{}
 	for n := range instances {
 		p := placement.New("a", fmt.Sprint("n", n), paces())
-		p.Apply(0, placement.Known{View: v})
+		p.Apply(0, placement.ViewUpdate{View: v})
 		for r := range 2 {
 			for _, a := range p.Apply(1, request(fmt.Sprint(n, "/", r))) {
-				if g := a.Verdict.Grant; g != nil {
+				if g := a.Decision.Grant; g != nil {
 					prefilled[g.Prefill]++
 					decoded[g.Decode]++
 				}
--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -44,7 +44,7 @@
 
 // canServe reports whether the request may use the engine at all, regardless of its
 // load.
-func (e *engine) canServe(req Ask) bool {
+func (e *engine) canServe(req Request) bool {
 	return e.Service == req.Service && e.State == directory.Ready && !slices.Contains(req.Exclude, e.ID)
 }
 
@@ -53,7 +53,7 @@
 	total := 0
 	for _, a := range e.allocations {
 		made := int(max(now.Sub(a.firstEventAt), 0) / max(a.tokenTime, time.Microsecond))
-		total += a.req.Prompt + max(initialTokens(a.grant.Length), min(made, 2*a.grant.Length))
+		total += a.req.Prompt + max(initialTokens(a.grant.ExpectedTokens), min(made, 2*a.grant.ExpectedTokens))
 	}
 	return total
 }
@@ -110,7 +110,7 @@
 // have need tokens free in total; found is false if there are no such engines. Memory
 // is assumed to come free at the aggregate rate at which answers are predicted to end,
 // because the end of a single answer can hardly be predicted.
-func (p *Planner) timeUntilFree(now clock.Millis, req Ask, need int) (wait time.Duration, found bool) {
+func (p *Planner) timeUntilFree(now clock.Millis, req Request, need int) (wait time.Duration, found bool) {
 	perSecond := 0.0
 	for _, e := range p.engines {
 		if !e.canServe(req) || e.Stage == directory.Prefill {
--- a/internal/placement/events.go
+++ b/internal/placement/events.go
@@ -16,7 +16,7 @@
 	if a == nil {
 		return
 	}
-	if m.Read {
+	if m.Prefilled {
 		p.prefillDone(now, a, m)
 		return
 	}
@@ -31,7 +31,7 @@
 // allocations of instances that are gone are unknown. Work that they left at prefill
 // engines is assumed to be worked off one prompt at a time; memory that they left at
 // decode engines counts for externalLoadLifetime, about as long as answers take.
-func (p *Planner) handleLoadReport(now clock.Millis, m Loaded) {
+func (p *Planner) handleLoadReport(now clock.Millis, m LoadReport) {
 	e := p.engines[m.Engine]
 	if e == nil {
 		return
@@ -41,7 +41,7 @@
 		e.leftoverUntil = now.Add(time.Duration(unknown) * p.typicalPrefillInterval(e))
 		return
 	}
-	e.leftoverTokens = max(m.Used-e.ownTokens(now), 0)
+	e.leftoverTokens = max(m.UsedTokens-e.ownTokens(now), 0)
 	e.leftoverUntil = now.Add(p.externalLoadLifetime(e))
 }
 
@@ -49,15 +49,15 @@
 	p.ownerSeenAt[r.Owner] = now
 	p.ended[r.ID] = now
 	if a := p.allocations[r.ID]; a != nil {
-		if r.Seen != nil {
-			p.learnAnswer(now, a, *r.Seen)
+		if r.Observed != nil {
+			p.learnAnswer(now, a, *r.Observed)
 		}
 		p.removeAllocation(now, a)
 	}
-	if e := p.engines[r.Full]; e != nil {
+	if e := p.engines[r.FullEngine]; e != nil {
 		e.blockedUntil = max(e.blockedUntil, now.Add(fullBackoff))
 	}
-	if e := p.engines[r.Failed]; e != nil {
+	if e := p.engines[r.FailedEngine]; e != nil {
 		e.recordFailure(now)
 	}
 }
@@ -74,10 +74,10 @@
 
 // handleAnnouncement takes a gateway's list of allocations. Unknown ones were granted
 // by a previous planner and are adopted; allocations missing from the list are freed.
-func (p *Planner) handleAnnouncement(now clock.Millis, a Announce) {
+func (p *Planner) handleAnnouncement(now clock.Millis, a Announcement) {
 	p.ownerSeenAt[a.Owner] = now
 	listed := map[string]bool{}
-	for _, held := range a.Holds {
+	for _, held := range a.Allocations {
 		listed[held.ID] = true
 		e := p.engines[held.Decode]
 		if e == nil || p.allocations[held.ID] != nil || p.ended[held.ID] != 0 {
@@ -107,19 +107,19 @@
 }
 
 // adoptedAllocation returns an allocation that a previous planner granted.
-func (p *Planner) adoptedAllocation(now clock.Millis, e *engine, owner string, h Hold) *allocation {
+func (p *Planner) adoptedAllocation(now clock.Millis, e *engine, owner string, h HeldAllocation) *allocation {
 	granted := now.Add(-h.Running)
 	return &allocation{
-		req:       Ask{ID: h.ID, Owner: owner, Service: e.Service, Prompt: h.Prompt},
-		grant:     Grant{Decode: h.Decode, Length: h.Length},
+		req:       Request{ID: h.ID, Owner: owner, Service: e.Service, Prompt: h.Prompt},
+		grant:     Grant{Decode: h.Decode, ExpectedTokens: h.ExpectedTokens},
 		grantedAt: granted, firstEventAt: granted,
-		tokenTime: p.model.Step(e.Service, e.ID, len(e.allocations)),
+		tokenTime: p.model.TokenTime(e.Service, e.ID, len(e.allocations)),
 	}
 }
 
 // learnAnswer updates the model from a gateway's timings of an answer, if this planner
 // knows the request.
-func (p *Planner) learnAnswer(now clock.Millis, a *allocation, s Seen) {
+func (p *Planner) learnAnswer(now clock.Millis, a *allocation, s Observation) {
 	e := p.engines[a.grant.Decode]
 	if e != nil && a.req.Route != "" {
 		Learn(p.model, now, a.req, a.grant, len(e.allocations), s)
@@ -147,9 +147,9 @@
 	o := pace.Observation{Service: e.Service, Engine: e.ID, Size: float64(prompt)}
 	switch {
 	case gap >= took && len(e.prefills) == 1:
-		o.Act, o.Outcome = pace.Read, clock.InMillis(took)
+		o.Quantity, o.Outcome = pace.PrefillTime, clock.InMillis(took)
 	case took-gap >= p.prefillTime(e.Service, e.ID, 0):
-		o.Act, o.Outcome = pace.Turn, clock.InMillis(gap)
+		o.Quantity, o.Outcome = pace.PrefillInterval, clock.InMillis(gap)
 	default:
 		return
 	}
--- a/internal/placement/grant.go
+++ b/internal/placement/grant.go
@@ -11,7 +11,7 @@
 )
 
 // handleRequest answers a request with a grant or a refusal, or queues it.
-func (p *Planner) handleRequest(now clock.Millis, req Ask) {
+func (p *Planner) handleRequest(now clock.Millis, req Request) {
 	if p.allocations[req.ID] != nil {
 		return
 	}
@@ -36,13 +36,13 @@
 		p.refuse(req, reason, wait)
 		return
 	}
-	p.answers = append(p.answers, Answer{ID: req.ID, Owner: req.Owner, Verdict: Verdict{Queued: true}})
+	p.answers = append(p.answers, Answer{ID: req.ID, Owner: req.Owner, Decision: Decision{Queued: true}})
 }
 
 // chooseDecoder returns the decode engine with the smallest share of its memory in use,
 // among those that are eligible.
-func (p *Planner) chooseDecoder(now clock.Millis, req Ask, h health, eligible func(*engine) bool) (*engine, string) {
-	if req.Once {
+func (p *Planner) chooseDecoder(now clock.Millis, req Request, h health, eligible func(*engine) bool) (*engine, string) {
+	if req.FinalDecode {
 		h = healthy
 	}
 	need := p.neededTokens(req)
@@ -61,7 +61,7 @@
 		if used+need > e.capacity && used > 0 || len(e.allocations) >= e.slots {
 			continue
 		}
-		share, risky := float64(used)/float64(max(e.capacity, 1)), req.Once && e.failureRate > maxOnceFailureRate
+		share, risky := float64(used)/float64(max(e.capacity, 1)), req.FinalDecode && e.failureRate > maxOnceFailureRate
 		if best == nil || risk && !risky || risk == risky && ranksBefore(share, least, e, best) {
 			best, least, risk = e, share, risky
 		}
@@ -78,7 +78,7 @@
 
 // choosePrefiller returns the prefill engine with the shortest backlog, if the request
 // can meet its deadline there.
-func (p *Planner) choosePrefiller(now clock.Millis, req Ask, h health) (*engine, string) {
+func (p *Planner) choosePrefiller(now clock.Millis, req Request, h health) (*engine, string) {
 	var best *engine
 	var least time.Duration
 	for _, e := range p.usable(now, req, h, func(s directory.Stage) bool { return s == directory.Prefill }) {
@@ -110,7 +110,7 @@
 
 // hasEngine reports whether any engine of a stage could serve the request, regardless
 // of load.
-func (p *Planner) hasEngine(req Ask, stage directory.Stage) bool {
+func (p *Planner) hasEngine(req Request, stage directory.Stage) bool {
 	for _, e := range p.engines {
 		if e.canServe(req) && (e.Stage == directory.Prefill) == (stage == directory.Prefill) {
 			return true
@@ -121,7 +121,7 @@
 
 // usable returns the acceptable engines, or all if none is acceptable, in both cases
 // without those that are blocked.
-func (p *Planner) usable(now clock.Millis, req Ask, h health, fits func(directory.Stage) bool) []*engine {
+func (p *Planner) usable(now clock.Millis, req Request, h health, fits func(directory.Stage) bool) []*engine {
 	var all, accepted []*engine
 	for _, e := range p.engines {
 		if !e.canServe(req) || !fits(e.Stage) {
@@ -141,16 +141,16 @@
 
 // predictWait predicts how long until there is capacity for the request and those
 // queued before it; it returns false if no engine could ever serve it.
-func (p *Planner) predictWait(now clock.Millis, req Ask) (time.Duration, bool) {
+func (p *Planner) predictWait(now clock.Millis, req Request) (time.Duration, bool) {
 	prefillWait := time.Duration(0)
 	switch req.Part {
-	case ReadOnly:
+	case PrefillOnly:
 		prefillWait = p.minBacklog(now, req)
 	case Both:
 		prefillWait = min(p.minBacklog(now, req), p.minSelfPrefillWait(now, req))
 	case DecodeOnly, Whole:
 	}
-	if req.Part == ReadOnly {
+	if req.Part == PrefillOnly {
 		return prefillWait, p.hasEngine(req, directory.Prefill)
 	}
 	need := p.neededTokens(req)
@@ -165,7 +165,7 @@
 
 // minBacklog returns the shortest backlog of the prefill engines that may serve the
 // request.
-func (p *Planner) minBacklog(now clock.Millis, req Ask) time.Duration {
+func (p *Planner) minBacklog(now clock.Millis, req Request) time.Duration {
 	least, found := time.Duration(0), false
 	for _, e := range p.engines {
 		if e.Stage != directory.Prefill || !e.canServe(req) {
@@ -178,10 +178,10 @@
 	return least
 }
 
-func (p *Planner) refuse(req Ask, reason string, retryAfter time.Duration) {
+func (p *Planner) refuse(req Request, reason string, retryAfter time.Duration) {
 	retryAfter = min(max(retryAfter, minRetryAfter), maxRetryAfter)
-	p.answers = append(p.answers, Answer{ID: req.ID, Owner: req.Owner, Verdict: Verdict{
-		Refusal: &Refusal{ID: req.ID, Reason: reason, After: retryAfter},
+	p.answers = append(p.answers, Answer{ID: req.ID, Owner: req.Owner, Decision: Decision{
+		Refusal: &Refusal{ID: req.ID, Reason: reason, RetryAfter: retryAfter},
 	}})
 }
 
@@ -198,7 +198,7 @@
 
 // allocate grants the request if there is capacity now, and returns the reason
 // otherwise. Suspect engines are used only if the healthy ones have no capacity.
-func (p *Planner) allocate(now clock.Millis, req Ask) (reason string) {
+func (p *Planner) allocate(now clock.Millis, req Request) (reason string) {
 	reason = p.allocateFrom(now, req, healthy)
 	if reason != ReasonFull && reason != ReasonBusy || req.Final || !p.hasSuspect(now, req) {
 		return reason
@@ -210,14 +210,14 @@
 }
 
 // allocateFrom is like allocate, with engines of the given health.
-func (p *Planner) allocateFrom(now clock.Millis, req Ask, h health) (reason string) {
+func (p *Planner) allocateFrom(now clock.Millis, req Request, h health) (reason string) {
 	var decode, prefill *engine
-	if req.Part != ReadOnly {
+	if req.Part != PrefillOnly {
 		if decode, reason = p.chooseDecoder(now, req, h, anyEngine); decode == nil {
 			return reason
 		}
 	}
-	if req.Part == Both || req.Part == ReadOnly {
+	if req.Part == Both || req.Part == PrefillOnly {
 		prefill, reason = p.choosePrefiller(now, req, h)
 		if self := p.chooseSelfPrefiller(now, req, h, decode, prefill, reason); self != nil {
 			decode, prefill, reason = self, nil, ""
@@ -234,38 +234,38 @@
 
 // grant assigns engines to a request; either may be nil. Without a prefill engine the
 // decode engine prefills the prompt itself, if the request needs that stage too.
-func (p *Planner) grant(now clock.Millis, req Ask, decode, prefill *engine) {
+func (p *Planner) grant(now clock.Millis, req Request, decode, prefill *engine) {
 	g := Grant{ID: req.ID}
 	a := &allocation{req: req, grantedAt: now}
 	if decode != nil {
 		quantity := firstEventQuantity(req.Part, prefill != nil)
-		g.Decode, g.Used, g.Length = decode.ID, p.usedTokens(now, decode), p.answerTokens(req)
-		g.Begin = p.model.Likely(quantity, req.Service, decode.ID, req.Prompt)
-		a.tokenTime = p.model.Step(req.Service, decode.ID, len(decode.allocations))
-		if quantity == pace.Whole {
-			decode.prefillingUntil = now.Add(g.Begin)
+		g.Decode, g.UsedTokens, g.ExpectedTokens = decode.ID, p.usedTokens(now, decode), p.answerTokens(req)
+		g.FirstEventTime = p.model.Median(quantity, req.Service, decode.ID, req.Prompt)
+		a.tokenTime = p.model.TokenTime(req.Service, decode.ID, len(decode.allocations))
+		if quantity == pace.LocalPrefillTime {
+			decode.prefillingUntil = now.Add(g.FirstEventTime)
 		}
 	}
 	if prefill != nil {
-		g.Prefill, g.Wait = prefill.ID, p.prefillBacklog(now, prefill)
-		g.Read = p.prefillTime(req.Service, prefill.ID, req.Prompt)
+		g.Prefill, g.PrefillWait = prefill.ID, p.prefillBacklog(now, prefill)
+		g.PrefillTime = p.prefillTime(req.Service, prefill.ID, req.Prompt)
 		prefill.startPrefill(now, req.ID, p.prefillInterval(req.Service, prefill.ID, req.Prompt))
 	}
 	for _, e := range []*engine{decode, prefill} {
 		if e != nil && now.Sub(e.addedAt) < newEngineInterval {
-			g.New = append(g.New, e.Endpoint)
+			g.NewEngines = append(g.NewEngines, e.Endpoint)
 		}
 	}
-	a.grant, a.firstEventAt = g, now.Add(g.Wait+g.Read+g.Begin)
+	a.grant, a.firstEventAt = g, now.Add(g.PrefillWait+g.PrefillTime+g.FirstEventTime)
 	p.addAllocation(decode, a)
-	p.answers = append(p.answers, Answer{ID: req.ID, Owner: req.Owner, Verdict: Verdict{Grant: &g}})
+	p.answers = append(p.answers, Answer{ID: req.ID, Owner: req.Owner, Decision: Decision{Grant: &g}})
 }
 
 // firstEventQuantity returns what a decode engine's time to the first event covers: only
 // starting to decode, or also the prefill, if no other engine does that.
-func firstEventQuantity(part Part, prefill bool) pace.Act {
+func firstEventQuantity(part Part, prefill bool) pace.Quantity {
 	if part == Whole || part == Both && !prefill {
-		return pace.Whole
+		return pace.LocalPrefillTime
 	}
-	return pace.Begin
+	return pace.FirstEventTime
 }
--- a/internal/placement/health.go
+++ b/internal/placement/health.go
@@ -32,7 +32,7 @@
 )
 
 // acceptable reports whether the engine may be used for the request.
-func (e *engine) acceptable(now clock.Millis, req Ask, h health) bool {
+func (e *engine) acceptable(now clock.Millis, req Request, h health) bool {
 	if e.suspectUntil <= now && !slices.Contains(req.Avoid, e.ID) {
 		return true
 	}
@@ -40,7 +40,7 @@
 }
 
 // hasSuspect reports whether some engine that could serve the request is not healthy.
-func (p *Planner) hasSuspect(now clock.Millis, req Ask) bool {
+func (p *Planner) hasSuspect(now clock.Millis, req Request) bool {
 	for _, e := range p.engines {
 		if e.canServe(req) && !e.acceptable(now, req, healthy) {
 			return true
--- a/internal/placement/health_test.go
+++ b/internal/placement/health_test.go
@@ -16,21 +16,21 @@
 		name     string
 		failures int // of d1, in a row
 		room     bool
-		change   func(*placement.Ask)
+		change   func(*placement.Request)
 		want     string // decode engine; empty: none
 	}{
-		{"the healthy one has capacity", 1, true, func(*placement.Ask) {}, "d2"},
-		{"the healthy one has none", 1, false, func(*placement.Ask) {}, "d1"},
-		{"a failure of the decode engine is final", 1, false, func(a *placement.Ask) { a.Once = true }, ""},
-		{"any failure is final", 1, false, func(a *placement.Ask) { a.Final = true }, ""},
-		{"it answers nothing", 4, false, func(*placement.Ask) {}, ""},
+		{"the healthy one has capacity", 1, true, func(*placement.Request) {}, "d2"},
+		{"the healthy one has none", 1, false, func(*placement.Request) {}, "d1"},
+		{"a failure of the decode engine is final", 1, false, func(a *placement.Request) { a.FinalDecode = true }, ""},
+		{"any failure is final", 1, false, func(a *placement.Request) { a.Final = true }, ""},
+		{"it answers nothing", 4, false, func(*placement.Request) {}, ""},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			p := planner(t, 2)
 			for i := range test.failures {
-				p.Apply(1000, placement.Release{ID: fmt.Sprint("failed", i), Owner: "n1", Failed: "d1"})
+				p.Apply(1000, placement.Release{ID: fmt.Sprint("failed", i), Owner: "n1", FailedEngine: "d1"})
 			}
 			if !test.room {
 				fillEngine(c, p, "d2")
@@ -50,8 +50,8 @@
 
 // fillEngine fills an engine's memory with allocations of a previous planner.
 func fillEngine(c *qt.C, p *placement.Planner, id string) {
-	p.Apply(1000, placement.Announce{Owner: "n0", Zone: "a", Holds: []placement.Hold{
-		{ID: "old", Decode: id, Prompt: capacity, Length: 100},
+	p.Apply(1000, placement.Announcement{Owner: "n0", Zone: "a", Allocations: []placement.HeldAllocation{
+		{ID: "old", Decode: id, Prompt: capacity, ExpectedTokens: 100},
 	}})
 	a := request("fills")
 	a.Exclude = []string{"d1"}
@@ -65,9 +65,9 @@
 	p := planner(t, 2)
 	c.Assert(decision(p.Apply(1000, request("0")), "0").Grant.Decode, qt.Equals, "d1")
 	c.Assert(decision(p.Apply(1000, request("1")), "1").Grant.Decode, qt.Equals, "d2")
-	p.Apply(1000, placement.Release{ID: "1", Owner: "n1", Failed: "d2"}) // d2 holds nothing now
+	p.Apply(1000, placement.Release{ID: "1", Owner: "n1", FailedEngine: "d2"}) // d2 holds nothing now
 	later := request("once")
-	later.Once = true
+	later.FinalDecode = true
 	c.Assert(decision(p.Apply(2500, later), "once").Grant.Decode, qt.Equals, "d1")
 	c.Assert(decision(p.Apply(2500, request("any")), "any").Grant.Decode, qt.Equals, "d2")
 }
--- a/internal/placement/late_test.go
+++ b/internal/placement/late_test.go
@@ -13,9 +13,9 @@
 
 // lateRequest returns a request that can no longer be in time and may be queued for two
 // seconds.
-func lateRequest(id string) placement.Ask {
+func lateRequest(id string) placement.Request {
 	a := request(id)
-	a.Budget, a.Late, a.Patient, a.Hold = 0, true, true, 2*time.Second
+	a.Budget, a.Late, a.MayQueue, a.QueueTime = 0, true, true, 2*time.Second
 	return a
 }
 
@@ -34,11 +34,11 @@
 	fill(c, p, 1000)
 	c.Assert(decision(p.Apply(4200, lateRequest("late")), "late").Queued, qt.IsTrue)
 	soon := request("soon")
-	soon.Patient = true
+	soon.MayQueue = true
 	c.Assert(decision(p.Apply(4250, soon), "soon").Queued, qt.IsTrue)
 	answers := p.Apply(4300, placement.Release{ID: "full0", Owner: "n1"})
 	c.Assert(decision(answers, "soon").Grant, qt.IsNotNil)
-	c.Assert(decision(answers, "late"), qt.Equals, placement.Verdict{})
+	c.Assert(decision(answers, "late"), qt.Equals, placement.Decision{})
 	// A late request that arrives now does not pass those that can be in time either.
 	other := soon
 	other.ID = "other"
@@ -70,7 +70,7 @@
 				a := request(fmt.Sprint(i))
 				c.Assert(decision(p.Apply(1000, a), a.ID).Grant, qt.IsNotNil)
 				if !test.reading {
-					p.Apply(1000, placement.Progress{ID: a.ID, Read: true, Took: 100 * time.Millisecond})
+					p.Apply(1000, placement.Progress{ID: a.ID, Prefilled: true, Took: 100 * time.Millisecond})
 				}
 			}
 			v := decision(p.Apply(1000, lateRequest("late")), "late")
@@ -97,11 +97,11 @@
 			p := planner(t, 1)
 			fill(c, p, 1000)
 			a := request("a")
-			a.Patient, a.Hold = true, 2*time.Second
+			a.MayQueue, a.QueueTime = true, 2*time.Second
 			c.Assert(decision(p.Apply(4200, a), "a").Queued, qt.IsTrue)
-			final := placement.Verdict{}
+			final := placement.Decision{}
 			for now := clock.Millis(4200); now < 7000 && final.Grant == nil && final.Refusal == nil; now += 10 {
-				final = decision(p.Apply(now, placement.Announce{Owner: "n1", Holds: fillHolds(now < test.freed)}), "a")
+				final = decision(p.Apply(now, placement.Announcement{Owner: "n1", Allocations: fillHolds(now < test.freed)}), "a")
 			}
 			c.Assert(final.Grant != nil, qt.Equals, test.granted)
 			c.Assert(final.Refusal != nil, qt.Equals, !test.granted)
@@ -111,11 +111,11 @@
 }
 
 // fillHolds lists the allocations after fill: all of them, or none.
-func fillHolds(running bool) []placement.Hold {
-	var list []placement.Hold
+func fillHolds(running bool) []placement.HeldAllocation {
+	var list []placement.HeldAllocation
 	for i := range 3 {
 		if running {
-			list = append(list, placement.Hold{ID: fmt.Sprint("full", i), Decode: "d1"})
+			list = append(list, placement.HeldAllocation{ID: fmt.Sprint("full", i), Decode: "d1"})
 		}
 	}
 	return list
--- a/internal/placement/learn_test.go
+++ b/internal/placement/learn_test.go
@@ -18,29 +18,29 @@
 	c := qt.New(t)
 	p := planner(t, 1)
 	now := clock.Millis(1000)
-	routed := func(id string) placement.Ask {
+	routed := func(id string) placement.Request {
 		a := request(id)
 		a.Route = "r"
 		return a
 	}
 	before := decision(p.Apply(now, routed("before")), "before").Grant
-	c.Assert(before.Read, qt.Equals, 100*time.Millisecond)
-	c.Assert(before.Begin, qt.Equals, 70*time.Millisecond)
+	c.Assert(before.PrefillTime, qt.Equals, 100*time.Millisecond)
+	c.Assert(before.FirstEventTime, qt.Equals, 70*time.Millisecond)
 	p.Apply(now, placement.Release{ID: "before", Owner: "n1"})
 	for i := range 8 {
 		id := fmt.Sprint(i)
 		p.Apply(now, routed(id))
 		now += 300
-		p.Apply(now, placement.Progress{ID: id, Read: true, Took: 300 * time.Millisecond})
+		p.Apply(now, placement.Progress{ID: id, Prefilled: true, Took: 300 * time.Millisecond})
 		now += 4000
-		p.Apply(now, placement.Release{ID: id, Owner: "n1", Seen: &placement.Seen{
-			Begin: 40 * time.Millisecond, Tokens: 400, Decoding: 4 * time.Second, Ended: 409,
+		p.Apply(now, placement.Release{ID: id, Owner: "n1", Observed: &placement.Observation{
+			FirstEventTime: 40 * time.Millisecond, Tokens: 400, DecodeTime: 4 * time.Second, TotalTokens: 409,
 		}})
 	}
 	after := decision(p.Apply(now, routed("after")), "after").Grant
-	c.Assert(after.Read, qt.Equals, 300*time.Millisecond)
-	c.Assert(after.Begin, qt.Equals, 40*time.Millisecond)
-	c.Assert(after.Length, qt.Equals, 409)
+	c.Assert(after.PrefillTime, qt.Equals, 300*time.Millisecond)
+	c.Assert(after.FirstEventTime, qt.Equals, 40*time.Millisecond)
+	c.Assert(after.ExpectedTokens, qt.Equals, 409)
 }
 
 // The time of a prompt that queued behind others says nothing about how soon an idle
@@ -49,7 +49,7 @@
 	c := qt.New(t)
 	m := paces()
 	p := placement.New("a", "n2", m)
-	p.Apply(0, placement.Known{View: view(t, 8)})
+	p.Apply(0, placement.ViewUpdate{View: view(t, 8)})
 	now := clock.Millis(1000)
 	for round := range 8 {
 		for i := range 3 {
@@ -59,18 +59,18 @@
 		// Each takes 80 ms and is answered 50 ms after its prefill.
 		for i := range 3 {
 			took := 50*time.Millisecond + time.Duration(i+1)*80*time.Millisecond
-			p.Apply(now.Add(took), placement.Progress{ID: fmt.Sprint(round, "-", i), Read: true, Took: took})
+			p.Apply(now.Add(took), placement.Progress{ID: fmt.Sprint(round, "-", i), Prefilled: true, Took: took})
 			p.Apply(now.Add(took), placement.Release{ID: fmt.Sprint(round, "-", i), Owner: "n1"})
 		}
 		now = now.Add(time.Second)
 		alone := request(fmt.Sprint(round, "-alone"))
 		p.Apply(now, alone)
-		p.Apply(now.Add(130*time.Millisecond), placement.Progress{ID: alone.ID, Read: true, Took: 130 * time.Millisecond})
+		p.Apply(now.Add(130*time.Millisecond), placement.Progress{ID: alone.ID, Prefilled: true, Took: 130 * time.Millisecond})
 		p.Apply(now.Add(130*time.Millisecond), placement.Release{ID: alone.ID, Owner: "n1"})
 		now = now.Add(time.Second)
 	}
-	c.Assert(m.Span(pace.Read, "llm", "p1", 5000).Likely, qt.Equals, 130*time.Millisecond)
-	c.Assert(m.Span(pace.Turn, "llm", "p1", 5000).Likely, qt.Equals, 80*time.Millisecond)
+	c.Assert(m.Span(pace.PrefillTime, "llm", "p1", 5000).Median, qt.Equals, 130*time.Millisecond)
+	c.Assert(m.Span(pace.PrefillInterval, "llm", "p1", 5000).Median, qt.Equals, 80*time.Millisecond)
 }
 
 // Timings of an engine are dropped with the engine: engines of a service are replaced
@@ -79,14 +79,14 @@
 	c := qt.New(t)
 	m := paces()
 	p := placement.New("a", "n2", m)
-	p.Apply(0, placement.Known{View: view(t, 2)})
+	p.Apply(0, placement.ViewUpdate{View: view(t, 2)})
 	for i := range 8 {
 		for engine, outcome := range map[string]float64{"d1": 10, "d2": 50} {
-			m.Learn(clock.Millis(i), pace.Observation{Service: "llm", Engine: engine, Act: pace.Step, Size: 4, Outcome: outcome})
+			m.Learn(clock.Millis(i), pace.Observation{Service: "llm", Engine: engine, Quantity: pace.TokenTime, Size: 4, Outcome: outcome})
 		}
 	}
-	c.Assert(m.Step("llm", "d2", 4), qt.Equals, 50*time.Millisecond)
-	p.Apply(1000, placement.Known{View: view(t, 1)})
-	c.Assert(m.Step("llm", "d2", 4), qt.Equals, 10*time.Millisecond)
-	c.Assert(m.Step("llm", "d1", 4), qt.Equals, 10*time.Millisecond)
+	c.Assert(m.TokenTime("llm", "d2", 4), qt.Equals, 50*time.Millisecond)
+	p.Apply(1000, placement.ViewUpdate{View: view(t, 1)})
+	c.Assert(m.TokenTime("llm", "d2", 4), qt.Equals, 10*time.Millisecond)
+	c.Assert(m.TokenTime("llm", "d1", 4), qt.Equals, 10*time.Millisecond)
 }
--- a/internal/placement/load_test.go
+++ b/internal/placement/load_test.go
@@ -28,8 +28,8 @@
 )
 
 var loadFigures = pace.Prior{
-	ReadSetup: 10 * time.Millisecond, ReadToken: 18 * time.Microsecond, Begin: 45 * time.Millisecond,
-	WholeToken: 36 * time.Microsecond, Step: 4300 * time.Microsecond, LengthPart: 0.42,
+	PrefillSetup: 10 * time.Millisecond, PrefillToken: 18 * time.Microsecond, FirstEvent: 45 * time.Millisecond,
+	LocalPrefillToken: 36 * time.Microsecond, TokenTime: 4300 * time.Microsecond, LengthFraction: 0.42,
 }
 
 // simulation simulates a zone of engines with the timings of loadFigures.
@@ -54,7 +54,7 @@
 const dialTimeout = 100 * time.Millisecond
 
 type simulatedRequest struct {
-	placement.Ask
+	placement.Request
 	arrivedAt      clock.Millis
 	decodeAttempts int // attempts that a decode engine may have run, at most two
 	retries        int
@@ -86,15 +86,15 @@
 	}
 	v := directory.NewView(table, list...)
 	m := pace.New(loadFigures)
-	m.Tell("test", []pace.Figure{
-		{Service: "llm", Act: pace.Prompt, Base: meanPrompt}, {Service: "llm", Act: pace.Answer, Base: meanAnswer},
+	m.SetFigures("test", []pace.Figure{
+		{Service: "llm", Quantity: pace.PromptTokens, Base: meanPrompt}, {Service: "llm", Quantity: pace.AnswerTokens, Base: meanAnswer},
 	})
 	l := &simulation{
 		planner: placement.New("a", "n2", m), random: rand.New(rand.NewPCG(7, 7)), prefillsDone: map[string]clock.Millis{},
 		delays: map[string]time.Duration{}, requests: map[string]*simulatedRequest{}, events: map[clock.Millis][]func(){},
 		lossy: never, unreachable: never,
 	}
-	l.planner.Apply(0, placement.Known{View: v})
+	l.planner.Apply(0, placement.ViewUpdate{View: v})
 	return l
 }
 
@@ -124,30 +124,30 @@
 
 func (l *simulation) arrive() {
 	output := max(int(l.random.ExpFloat64()*meanAnswer), 20)
-	a := &simulatedRequest{arrivedAt: l.now, Ask: placement.Ask{
-		ID: fmt.Sprint(len(l.requests)), Owner: "n", Service: "llm", Budget: loadTarget, Hold: 3 * loadTarget,
-		Once:   len(l.requests)%3 == 0, // a third of the large fleet's streams
-		Prompt: int((0.5 + l.random.Float64()) * meanPrompt), Output: min(output, 4*meanAnswer), Most: 4 * meanAnswer,
+	a := &simulatedRequest{arrivedAt: l.now, Request: placement.Request{
+		ID: fmt.Sprint(len(l.requests)), Owner: "n", Service: "llm", Budget: loadTarget, QueueTime: 3 * loadTarget,
+		FinalDecode: len(l.requests)%3 == 0, // a third of the large fleet's streams
+		Prompt:      int((0.5 + l.random.Float64()) * meanPrompt), ExpectedTokens: min(output, 4*meanAnswer), MaxTokens: 4 * meanAnswer,
 	}}
 	l.requests[a.ID] = a
-	l.apply(a.Ask)
+	l.apply(a.Request)
 }
 
 func (l *simulation) apply(e placement.Event) {
 	for _, answer := range l.planner.Apply(l.now, e) {
-		l.handleDecision(l.requests[answer.ID], answer.Verdict)
+		l.handleDecision(l.requests[answer.ID], answer.Decision)
 	}
 }
 
 // handleDecision handles a decision like a gateway: after a first refusal it requests
 // again and accepts being queued.
-func (l *simulation) handleDecision(a *simulatedRequest, v placement.Verdict) {
+func (l *simulation) handleDecision(a *simulatedRequest, v placement.Decision) {
 	switch {
 	case v.Grant != nil:
 		l.serve(a, *v.Grant)
-	case v.Refusal != nil && !a.Patient:
-		a.Patient = true
-		l.schedule(time.Millisecond, func() { l.apply(a.Ask) })
+	case v.Refusal != nil && !a.MayQueue:
+		a.MayQueue = true
+		l.schedule(time.Millisecond, func() { l.apply(a.Request) })
 	case v.Refusal != nil:
 		l.result.refused++
 		l.result.refusedWait += l.now.Sub(a.arrivedAt)
@@ -160,18 +160,18 @@
 	case g.Prefill == "" && a.Part == placement.DecodeOnly:
 		l.sendToDecoder(a, g)
 	case g.Prefill == "":
-		read := tokens(a.Prompt, loadFigures.WholeToken)
+		read := tokens(a.Prompt, loadFigures.LocalPrefillToken)
 		if l.drops(a, g.Decode, placement.Both, 1) {
 			return
 		}
 		l.delays[g.Decode] += read
-		l.schedule(read+loadFigures.Begin, func() { l.startAnswer(a, g) })
+		l.schedule(read+loadFigures.FirstEvent, func() { l.startAnswer(a, g) })
 	case l.drops(a, g.Prefill, placement.Both, 0):
 	default:
 		sent := l.now
-		l.prefillsDone[g.Prefill] = max(l.prefillsDone[g.Prefill], l.now).Add(tokens(a.Prompt, loadFigures.ReadToken))
-		l.schedule(l.prefillsDone[g.Prefill].Sub(l.now)+loadFigures.ReadSetup, func() {
-			l.apply(placement.Progress{ID: a.ID, Read: true, Running: 1, Took: l.now.Sub(sent)})
+		l.prefillsDone[g.Prefill] = max(l.prefillsDone[g.Prefill], l.now).Add(tokens(a.Prompt, loadFigures.PrefillToken))
+		l.schedule(l.prefillsDone[g.Prefill].Sub(l.now)+loadFigures.PrefillSetup, func() {
+			l.apply(placement.Progress{ID: a.ID, Prefilled: true, Running: 1, Took: l.now.Sub(sent)})
 			l.sendToDecoder(a, g)
 		})
 	}
@@ -180,7 +180,7 @@
 // sendToDecoder sends a request to the decode engine, which fetches its KV cache.
 func (l *simulation) sendToDecoder(a *simulatedRequest, g placement.Grant) {
 	if !l.drops(a, g.Decode, placement.DecodeOnly, 1) { // otherwise the cache was not fetched
-		l.schedule(loadFigures.Begin, func() { l.startAnswer(a, g) })
+		l.schedule(loadFigures.FirstEvent, func() { l.startAnswer(a, g) })
 	}
 }
 
@@ -200,20 +200,20 @@
 
 // retry requests other engines, like a gateway that may retry.
 func (l *simulation) retry(a *simulatedRequest, engine string, part placement.Part, runs int) {
-	l.apply(placement.Release{ID: a.ID, Owner: "n", Failed: engine})
+	l.apply(placement.Release{ID: a.ID, Owner: "n", FailedEngine: engine})
 	a.decodeAttempts += runs
 	a.retries++
-	if a.decodeAttempts > 0 && a.Once || a.retries > 4 {
+	if a.decodeAttempts > 0 && a.FinalDecode || a.retries > 4 {
 		l.result.failed++
 		return
 	}
 	delete(l.requests, a.ID)
 	a.ID += "+"
-	a.Exclude, a.Part, a.Patient = append(a.Exclude, engine), part, false
+	a.Exclude, a.Part, a.MayQueue = append(a.Exclude, engine), part, false
 	a.Budget = max(a.arrivedAt.Add(loadTarget).Sub(l.now), 0)
-	a.Late, a.Once = a.Budget == 0, a.Once || a.decodeAttempts > 0
+	a.Late, a.FinalDecode = a.Budget == 0, a.FinalDecode || a.decodeAttempts > 0
 	l.requests[a.ID] = a
-	l.schedule(time.Millisecond, func() { l.apply(a.Ask) })
+	l.schedule(time.Millisecond, func() { l.apply(a.Request) })
 }
 
 // startAnswer counts the first event and schedules the end of the answer, which is delayed
@@ -235,7 +235,7 @@
 		}
 		l.apply(placement.Release{ID: a.ID, Owner: "n"})
 	}
-	l.schedule(time.Duration(a.Output)*loadFigures.Step, end)
+	l.schedule(time.Duration(a.ExpectedTokens)*loadFigures.TokenTime, end)
 }
 
 // burstRate is the rate of a zone in the large fleet's busiest hour, 23 requests a
@@ -300,11 +300,11 @@
 			b.Run(fmt.Sprintf("engines=%d/waiting=%d", engines, waiting), func(b *testing.B) {
 				l := newSimulation(b, max(engines/5, 1), engines-max(engines/5, 1))
 				n := 0
-				request := func(patient bool) placement.Ask {
+				request := func(patient bool) placement.Request {
 					n++
-					return placement.Ask{
-						ID: fmt.Sprint(n), Owner: "n", Service: "llm", Budget: loadTarget, Hold: 3 * loadTarget,
-						Prompt: meanPrompt, Output: meanAnswer, Most: 4 * meanAnswer, Patient: patient,
+					return placement.Request{
+						ID: fmt.Sprint(n), Owner: "n", Service: "llm", Budget: loadTarget, QueueTime: 3 * loadTarget,
+						Prompt: meanPrompt, ExpectedTokens: meanAnswer, MaxTokens: 4 * meanAnswer, MayQueue: patient,
 					}
 				}
 				for l.planner.Queued() < waiting && n < 20*engines+2*waiting {
@@ -325,9 +325,9 @@
 		b.Run(fmt.Sprint(waiting), func(b *testing.B) {
 			l := newSimulation(b, 5, 20)
 			for n := 0; l.planner.Queued() < waiting; n++ {
-				l.planner.Apply(1000, placement.Ask{
-					ID: fmt.Sprint(n), Owner: "n", Service: "llm", Budget: loadTarget, Hold: 3 * loadTarget,
-					Prompt: meanPrompt, Output: meanAnswer, Most: 4 * meanAnswer, Patient: true,
+				l.planner.Apply(1000, placement.Request{
+					ID: fmt.Sprint(n), Owner: "n", Service: "llm", Budget: loadTarget, QueueTime: 3 * loadTarget,
+					Prompt: meanPrompt, ExpectedTokens: meanAnswer, MaxTokens: 4 * meanAnswer, MayQueue: true,
 				})
 			}
 			for b.Loop() {
--- a/internal/placement/new_engines_test.go
+++ b/internal/placement/new_engines_test.go
@@ -27,16 +27,16 @@
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			p := planner(t, 1)
-			p.Apply(later, placement.Known{View: view(t, 2)})
+			p.Apply(later, placement.ViewUpdate{View: view(t, 2)})
 			a := request("1")
 			a.Exclude = []string{"d1"}
 			answers := p.Apply(test.at, a)
 			c.Assert(answers, qt.HasLen, 1)
-			g := answers[0].Verdict.Grant
+			g := answers[0].Decision.Grant
 			c.Assert(g, qt.IsNotNil)
 			c.Assert(g.Decode, qt.Equals, "d2")
 			var told []string
-			for _, e := range g.New {
+			for _, e := range g.NewEngines {
 				told = append(told, e.ID)
 			}
 			c.Assert(told, qt.DeepEquals, test.included)
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -65,30 +65,30 @@
 	maxRetryAfter = 4 * time.Second
 )
 
-// Event is an input of a planner: [Ask], [Progress], [Loaded], [Release], [Closed],
-// [Announce], [Known] or [Tick].
+// Event is an input of a planner: [Request], [Progress], [LoadReport], [Release], [StageChange],
+// [Announcement], [ViewUpdate] or [Tick].
 type Event interface{ event() }
 
-// Known carries the current endpoints of the zone.
-type Known struct{ View *directory.View }
+// ViewUpdate carries the current endpoints of the zone.
+type ViewUpdate struct{ View *directory.View }
 
 // Tick lets the planner expire allocations and queued requests.
 type Tick struct{}
 
-func (Ask) event()      {}
-func (Progress) event() {}
-func (Loaded) event()   {}
-func (Release) event()  {}
-func (Closed) event()   {}
-func (Announce) event() {}
-func (Known) event()    {}
-func (Tick) event()     {}
+func (Request) event()      {}
+func (Progress) event()     {}
+func (LoadReport) event()   {}
+func (Release) event()      {}
+func (StageChange) event()  {}
+func (Announcement) event() {}
+func (ViewUpdate) event()   {}
+func (Tick) event()         {}
 
 // Answer is an effect of Apply: a decision to send to one gateway.
 type Answer struct {
-	ID      string
-	Owner   string
-	Verdict Verdict
+	ID       string
+	Owner    string
+	Decision Decision
 }
 
 // Planner plans one zone. It is not safe for concurrent use.
@@ -107,7 +107,7 @@
 
 // allocation is what one attempt holds.
 type allocation struct {
-	req          Ask // of an allocation adopted from a previous planner only owner, id, service and prompt are set
+	req          Request // of an allocation adopted from a previous planner only owner, id, service and prompt are set
 	grant        Grant
 	grantedAt    clock.Millis
 	firstEventAt clock.Millis  // predicted
@@ -127,21 +127,21 @@
 func (p *Planner) Apply(now clock.Millis, e Event) []Answer {
 	p.answers = nil
 	switch e := e.(type) {
-	case Ask:
+	case Request:
 		p.handleRequest(now, e)
 	case Progress:
 		p.handleProgress(now, e)
-	case Loaded:
+	case LoadReport:
 		p.handleLoadReport(now, e)
 	case Release:
 		p.handleRelease(now, e)
-	case Closed:
+	case StageChange:
 		if engine := p.engines[e.Engine]; engine != nil {
 			engine.blockedUntil = now.Add(engine.switchTime + stageChangeSlack)
 		}
-	case Announce:
+	case Announcement:
 		p.handleAnnouncement(now, e)
-	case Known:
+	case ViewUpdate:
 		p.updateEngines(now, e.View)
 	case Tick:
 		p.expire(now)
@@ -157,10 +157,10 @@
 // queued requests takes as long as handling 50 new ones.
 func mayFreeCapacity(e Event) bool {
 	switch e := e.(type) {
-	case Ask:
+	case Request:
 		return false
 	case Progress:
-		return e.Read
+		return e.Prefilled
 	default:
 		return true
 	}
@@ -183,7 +183,7 @@
 		known.Endpoint, known.lastView = *e, p.viewCount
 		known.capacity = int(usableMemoryFraction * float64(data.KVTokens))
 		known.slots = data.Slots
-		known.switchTime = data.Switch()
+		known.switchTime = data.StageChangeTime()
 	}
 	for id, e := range p.engines {
 		if e.lastView != p.viewCount {
@@ -198,7 +198,7 @@
 // predicted length is probably a long one, and is assumed to continue for
 // overrunFraction of the time it took so far.
 func (a *allocation) remaining(now clock.Millis) time.Duration {
-	left := a.firstEventAt.Add(time.Duration(a.grant.Length) * a.tokenTime).Sub(now)
+	left := a.firstEventAt.Add(time.Duration(a.grant.ExpectedTokens) * a.tokenTime).Sub(now)
 	return max(left, time.Duration(overrunFraction*float64(now.Sub(a.firstEventAt))))
 }
 
@@ -207,4 +207,4 @@
 const overrunFraction = 0.3
 
 // tokens is the estimated KV memory of the request from its start.
-func (a *allocation) tokens() int { return a.req.Prompt + initialTokens(a.grant.Length) }
+func (a *allocation) tokens() int { return a.req.Prompt + initialTokens(a.grant.ExpectedTokens) }
--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -20,17 +20,17 @@
 // paces returns a model with typical request sizes, as if some had been observed.
 func paces() *pace.Model {
 	m := pace.New(figures)
-	m.Tell("test", []pace.Figure{
-		{Service: "llm", Act: pace.Prompt, Base: 5000},
-		{Service: "llm", Act: pace.Answer, Base: 600},
+	m.SetFigures("test", []pace.Figure{
+		{Service: "llm", Quantity: pace.PromptTokens, Base: 5000},
+		{Service: "llm", Quantity: pace.AnswerTokens, Base: 600},
 	})
 	return m
 }
 
 // figures are the prior timings of the engines in these tests.
 var figures = pace.Prior{
-	ReadSetup: 10 * time.Millisecond, ReadToken: 18 * time.Microsecond, Begin: 70 * time.Millisecond,
-	WholeToken: 36 * time.Microsecond, Step: 4500 * time.Microsecond, LengthPart: 0.42,
+	PrefillSetup: 10 * time.Millisecond, PrefillToken: 18 * time.Microsecond, FirstEvent: 70 * time.Millisecond,
+	LocalPrefillToken: 36 * time.Microsecond, TokenTime: 4500 * time.Microsecond, LengthFraction: 0.42,
 }
 
 func view(t interface{ Fatal(...any) }, decodes int) *directory.View { return viewOf(t, 1, decodes) }
@@ -58,21 +58,21 @@
 
 func planner(t interface{ Fatal(...any) }, decodes int) *placement.Planner {
 	p := placement.New("a", "n2", paces())
-	p.Apply(0, placement.Known{View: view(t, decodes)})
+	p.Apply(0, placement.ViewUpdate{View: view(t, decodes)})
 	return p
 }
 
-func request(id string) placement.Ask {
-	return placement.Ask{ID: id, Owner: "n1", Service: "llm", Prompt: 5000, Output: 800, Budget: 900 * time.Millisecond}
+func request(id string) placement.Request {
+	return placement.Request{ID: id, Owner: "n1", Service: "llm", Prompt: 5000, ExpectedTokens: 800, Budget: 900 * time.Millisecond}
 }
 
-func decision(answers []placement.Answer, id string) placement.Verdict {
+func decision(answers []placement.Answer, id string) placement.Decision {
 	for _, a := range answers {
 		if a.ID == id {
-			return a.Verdict
+			return a.Decision
 		}
 	}
-	return placement.Verdict{}
+	return placement.Decision{}
 }
 
 // Requests spread over the engines, and one that does not fit is refused at once with a
@@ -91,10 +91,10 @@
 	v := decision(p.Apply(1000, request("more")), "more")
 	c.Assert(v.Refusal, qt.IsNotNil)
 	c.Assert(v.Refusal.Reason, qt.Equals, placement.ReasonFull)
-	c.Assert(v.Refusal.After > 0, qt.IsTrue)
+	c.Assert(v.Refusal.RetryAfter > 0, qt.IsTrue)
 	// Near the predicted end of an answer, queueing is worthwhile.
 	patient := request("patient")
-	patient.Patient = true
+	patient.MayQueue = true
 	c.Assert(decision(p.Apply(4700, patient), "patient").Queued, qt.IsTrue)
 	got := decision(p.Apply(4750, placement.Release{ID: "0", Owner: "n1"}), "patient")
 	c.Assert(got.Grant, qt.IsNotNil)
@@ -107,9 +107,9 @@
 		p.Apply(1000, request(fmt.Sprint(i)))
 	}
 	patient := request("patient")
-	patient.Patient = true
+	patient.MayQueue = true
 	c.Assert(decision(p.Apply(4700, patient), "patient").Queued, qt.IsTrue)
-	got := placement.Verdict{}
+	got := placement.Decision{}
 	for now := clock.Millis(4700); now < 5700 && got.Refusal == nil; now += 10 {
 		got = decision(p.Apply(now, placement.Tick{}), "patient")
 	}
@@ -123,8 +123,8 @@
 		release placement.Release
 		want    string // decode engine of the next request; empty: refused
 	}{
-		{"failed, the other is used", placement.Release{ID: "0", Owner: "n1", Failed: "d1"}, "d2"},
-		{"full, the other is used", placement.Release{ID: "0", Owner: "n1", Full: "d1"}, "d2"},
+		{"failed, the other is used", placement.Release{ID: "0", Owner: "n1", FailedEngine: "d1"}, "d2"},
+		{"full, the other is used", placement.Release{ID: "0", Owner: "n1", FullEngine: "d1"}, "d2"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -137,7 +137,7 @@
 	t.Run("all failed, one is used anyway", func(t *testing.T) {
 		p := planner(t, 1)
 		p.Apply(1000, request("0"))
-		p.Apply(1001, placement.Release{ID: "0", Owner: "n1", Failed: "d1"})
+		p.Apply(1001, placement.Release{ID: "0", Owner: "n1", FailedEngine: "d1"})
 		qt.Assert(t, decision(p.Apply(1002, request("1")), "1").Grant, qt.IsNotNil)
 	})
 	t.Run("no engine at all", func(t *testing.T) {
@@ -152,15 +152,15 @@
 func TestAllocationsFollowAnnouncements(t *testing.T) {
 	c := qt.New(t)
 	p := planner(t, 1)
-	var holds []placement.Hold
+	var holds []placement.HeldAllocation
 	for i := range 3 {
-		holds = append(holds, placement.Hold{ID: fmt.Sprint("old", i), Decode: "d1", Prompt: 5000, Length: 800})
+		holds = append(holds, placement.HeldAllocation{ID: fmt.Sprint("old", i), Decode: "d1", Prompt: 5000, ExpectedTokens: 800})
 	}
-	p.Apply(1000, placement.Announce{Owner: "n1", Zone: "a", Holds: holds})
+	p.Apply(1000, placement.Announcement{Owner: "n1", Zone: "a", Allocations: holds})
 	other := request("x")
 	other.Owner = "n2"
 	c.Assert(decision(p.Apply(1001, other), "x").Refusal, qt.IsNotNil)
-	p.Apply(2000, placement.Announce{Owner: "n1", Zone: "a", Holds: holds[:2]})
+	p.Apply(2000, placement.Announcement{Owner: "n1", Zone: "a", Allocations: holds[:2]})
 	other.ID = "y"
 	c.Assert(decision(p.Apply(2001, other), "y").Grant, qt.IsNotNil)
 	p.Apply(9000, placement.Tick{})
@@ -188,7 +188,7 @@
 	p := planner(t, 1)
 	p.Apply(1000, placement.Release{ID: "0", Owner: "n1"}) // released before the request arrived
 	c.Assert(decision(p.Apply(1001, request("0")), "0").Refusal.Reason, qt.Equals, placement.ReasonMoved)
-	p.Apply(1002, placement.Announce{Owner: "n1", Holds: []placement.Hold{{ID: "0", Decode: "d1", Prompt: 15_000, Length: 10}}})
+	p.Apply(1002, placement.Announcement{Owner: "n1", Allocations: []placement.HeldAllocation{{ID: "0", Decode: "d1", Prompt: 15_000, ExpectedTokens: 10}}})
 	c.Assert(decision(p.Apply(1003, request("1")), "1").Grant, qt.IsNotNil)
 }
 
@@ -201,14 +201,14 @@
 	for i := range 6 {
 		v := decision(p.Apply(1000, request(fmt.Sprint(i))), fmt.Sprint(i))
 		c.Assert(v.Grant, qt.IsNotNil)
-		c.Assert(v.Grant.Wait > last || i == 0, qt.IsTrue)
-		last = v.Grant.Wait
+		c.Assert(v.Grant.PrefillWait > last || i == 0, qt.IsTrue)
+		last = v.Grant.PrefillWait
 	}
 	late := request("late")
 	late.Budget = 200 * time.Millisecond // less than a decode engine needs to prefill the prompt
 	c.Assert(decision(p.Apply(1000, late), "late").Refusal.Reason, qt.Equals, placement.ReasonBusy)
 	for i := range 6 {
-		p.Apply(1100, placement.Progress{ID: fmt.Sprint(i), Read: true, Running: 1})
+		p.Apply(1100, placement.Progress{ID: fmt.Sprint(i), Prefilled: true, Running: 1})
 	}
 	late.ID = "in time"
 	c.Assert(decision(p.Apply(1101, late), "in time").Grant, qt.IsNotNil)
@@ -218,7 +218,7 @@
 	without.ID, without.Part = "y", placement.DecodeOnly
 	c.Assert(decision(p.Apply(1103, without), "y").Grant.Prefill, qt.Equals, "")
 	reading := request("z")
-	reading.Part = placement.ReadOnly
+	reading.Part = placement.PrefillOnly
 	c.Assert(decision(p.Apply(1104, reading), "z").Grant.Decode, qt.Equals, "")
 }
 
@@ -233,10 +233,10 @@
 		take := func(answers []placement.Answer) {
 			for _, a := range answers {
 				switch {
-				case a.Verdict.Grant != nil:
-					held[a.ID] = a.Verdict.Grant.Decode
+				case a.Decision.Grant != nil:
+					held[a.ID] = a.Decision.Grant.Decode
 					final[a.ID]++
-				case a.Verdict.Refusal != nil:
+				case a.Decision.Refusal != nil:
 					final[a.ID]++
 				}
 			}
@@ -247,7 +247,7 @@
 			case 0:
 				a := request(fmt.Sprint(next))
 				next++
-				a.Patient = rapid.Bool().Draw(rt, "patient")
+				a.MayQueue = rapid.Bool().Draw(rt, "patient")
 				take(p.Apply(now, a))
 			case 1:
 				for id := range held {
@@ -256,11 +256,11 @@
 					break
 				}
 			case 2:
-				var holds []placement.Hold
+				var holds []placement.HeldAllocation
 				for id, decode := range held {
-					holds = append(holds, placement.Hold{ID: id, Decode: decode, Prompt: 5000, Length: 800})
+					holds = append(holds, placement.HeldAllocation{ID: id, Decode: decode, Prompt: 5000, ExpectedTokens: 800})
 				}
-				take(p.Apply(now, placement.Announce{Owner: "n1", Zone: "a", Holds: holds}))
+				take(p.Apply(now, placement.Announcement{Owner: "n1", Zone: "a", Allocations: holds}))
 			}
 			perEngine := map[string]int{}
 			for _, decode := range held {
@@ -287,30 +287,30 @@
 func TestLeftoverLoad(t *testing.T) {
 	tests := []struct {
 		name    string
-		loaded  placement.Loaded
+		loaded  placement.LoadReport
 		after   time.Duration
 		part    placement.Part
 		prefill string // engines of the next request
 		decode  string
 		refused string
 	}{
-		{"nothing", placement.Loaded{Engine: "d1"}, 0, placement.Both, "p1", "d1", ""},
-		{"memory in one decode engine", placement.Loaded{Engine: "d1", Used: 18_000}, 0, placement.Both, "p1", "d2", ""},
-		{"memory, which is free again", placement.Loaded{Engine: "d1", Used: 18_000}, 2 * time.Second, placement.Both, "p1", "d1", ""},
-		{"work at the prefill engine", placement.Loaded{Engine: "p1", Running: 1, Waiting: 12}, 0, placement.ReadOnly, "", "", placement.ReasonBusy},
-		{"work, and a decode engine may prefill", placement.Loaded{Engine: "p1", Running: 1, Waiting: 12}, 0, placement.Both, "", "d1", ""},
-		{"work, half of which is done", placement.Loaded{Engine: "p1", Running: 1, Waiting: 12}, 800 * time.Millisecond, placement.Both, "p1", "d1", ""},
+		{"nothing", placement.LoadReport{Engine: "d1"}, 0, placement.Both, "p1", "d1", ""},
+		{"memory in one decode engine", placement.LoadReport{Engine: "d1", UsedTokens: 18_000}, 0, placement.Both, "p1", "d2", ""},
+		{"memory, which is free again", placement.LoadReport{Engine: "d1", UsedTokens: 18_000}, 2 * time.Second, placement.Both, "p1", "d1", ""},
+		{"work at the prefill engine", placement.LoadReport{Engine: "p1", Running: 1, Waiting: 12}, 0, placement.PrefillOnly, "", "", placement.ReasonBusy},
+		{"work, and a decode engine may prefill", placement.LoadReport{Engine: "p1", Running: 1, Waiting: 12}, 0, placement.Both, "", "d1", ""},
+		{"work, half of which is done", placement.LoadReport{Engine: "p1", Running: 1, Waiting: 12}, 800 * time.Millisecond, placement.Both, "p1", "d1", ""},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			p := planner(t, 2)
 			if test.decode == "d1" { // of equal engines, the one with less load is used
-				p.Apply(1000, placement.Loaded{Engine: "d2", Used: 1})
+				p.Apply(1000, placement.LoadReport{Engine: "d2", UsedTokens: 1})
 			}
 			p.Apply(1000, test.loaded)
 			if test.after > leftoverExpired {
-				p.Apply(clock.Millis(1000).Add(test.after), placement.Loaded{Engine: "d2", Used: 1})
+				p.Apply(clock.Millis(1000).Add(test.after), placement.LoadReport{Engine: "d2", UsedTokens: 1})
 			}
 			a := request("r")
 			a.Part = test.part
@@ -348,9 +348,9 @@
 				a.Prompt = test.prompt
 				c.Assert(decision(p.Apply(1000, a), a.ID).Grant, qt.IsNotNil)
 			}
-			p.Apply(4300, placement.Announce{Owner: "n1", Holds: runningHolds(test.run)})
+			p.Apply(4300, placement.Announcement{Owner: "n1", Allocations: runningHolds(test.run)})
 			late := request("late") // memory is predicted to be free at 4800
-			late.Patient = true
+			late.MayQueue = true
 			c.Assert(decision(p.Apply(4300, late), "late").Queued, qt.IsTrue)
 			c.Assert(decision(p.Apply(4600, placement.Tick{}), "late").Refusal, qt.IsNil)
 			answers := p.Apply(4650, placement.Release{ID: "1", Owner: "n1"})
@@ -361,10 +361,10 @@
 }
 
 // runningHolds lists the first n requests of a test as still running.
-func runningHolds(n int) []placement.Hold {
-	var list []placement.Hold
+func runningHolds(n int) []placement.HeldAllocation {
+	var list []placement.HeldAllocation
 	for i := range n {
-		list = append(list, placement.Hold{ID: fmt.Sprint(i), Decode: "d1"})
+		list = append(list, placement.HeldAllocation{ID: fmt.Sprint(i), Decode: "d1"})
 	}
 	return list
 }
--- a/internal/placement/queue.go
+++ b/internal/placement/queue.go
@@ -8,7 +8,7 @@
 
 // queuedRequest is a request that waits for capacity.
 type queuedRequest struct {
-	req          Ask
+	req          Request
 	neededTokens int          // tokens of KV memory, as predicted on arrival
 	deadline     clock.Millis // it can be in time if it is granted before that
 	refuseAt     clock.Millis // it is refused then
@@ -25,15 +25,15 @@
 
 // enqueue queues a request if it will probably get capacity before it has to be
 // refused. It returns false otherwise.
-func (p *Planner) enqueue(now clock.Millis, req Ask, wait time.Duration) bool {
+func (p *Planner) enqueue(now clock.Millis, req Request, wait time.Duration) bool {
 	slack := req.Budget - p.minTimeToFirstEvent(req)
 	tooLate := wait > waitUncertainty*slack
-	if !req.Patient || tooLate && wait > req.Hold {
+	if !req.MayQueue || tooLate && wait > req.QueueTime {
 		return false
 	}
 	q := queuedRequest{
 		req: req, neededTokens: p.neededTokens(req),
-		deadline: now.Add(max(slack, 0)), refuseAt: now.Add(max(slack, req.Hold, 0)),
+		deadline: now.Add(max(slack, 0)), refuseAt: now.Add(max(slack, req.QueueTime, 0)),
 	}
 	if tooLate {
 		q.deadline = now
--- a/internal/placement/rejections.go
+++ b/internal/placement/rejections.go
@@ -14,13 +14,13 @@
 	reason            string
 }
 
-func classOf(req Ask, reason string) requestClass {
-	return requestClass{service: req.Service, part: req.Part, late: req.Late, once: req.Once, final: req.Final, reason: reason}
+func classOf(req Request, reason string) requestClass {
+	return requestClass{service: req.Service, part: req.Part, late: req.Late, once: req.FinalDecode, final: req.Final, reason: reason}
 }
 
 // rejection is the smallest request of a class that was not granted.
 type rejection struct {
-	req  Ask
+	req  Request
 	need int // tokens of KV memory
 }
 
--- a/internal/placement/rejections_test.go
+++ b/internal/placement/rejections_test.go
@@ -10,7 +10,7 @@
 // A rejection covers other requests only if they are at least as large, need the same
 // engines and exclude none.
 func TestRejectionsCover(t *testing.T) {
-	refused := queuedRequest{neededTokens: 5000, req: Ask{Service: "llm", Prompt: 4000, Budget: 900 * time.Millisecond}}
+	refused := queuedRequest{neededTokens: 5000, req: Request{Service: "llm", Prompt: 4000, Budget: 900 * time.Millisecond}}
 	with := func(change func(*queuedRequest)) queuedRequest {
 		q := refused
 		change(&q)
@@ -27,7 +27,7 @@
 		{"larger", ReasonFull, refused, with(func(q *queuedRequest) { q.neededTokens = 6000 }), true},
 		{"smaller", ReasonFull, refused, with(func(q *queuedRequest) { q.neededTokens = 4999 }), false},
 		{"late", ReasonFull, refused, with(func(q *queuedRequest) { q.req.Late = true }), false},
-		{"must not be retried", ReasonFull, refused, with(func(q *queuedRequest) { q.req.Once = true }), false},
+		{"must not be retried", ReasonFull, refused, with(func(q *queuedRequest) { q.req.FinalDecode = true }), false},
 		{"another service", ReasonFull, refused, with(func(q *queuedRequest) { q.req.Service = "web" }), false},
 		{"excludes an engine", ReasonFull, refused, with(func(q *queuedRequest) { q.req.Exclude = []string{"d1"} }), false},
 		{"the refused one excludes an engine", ReasonFull, with(func(q *queuedRequest) { q.req.Exclude = []string{"d1"} }), refused, false},
--- a/internal/placement/self_prefill.go
+++ b/internal/placement/self_prefill.go
@@ -25,7 +25,7 @@
 // An engine prefills one prompt at a time itself. Its running answers get one token for
 // each chunk of the prefill, and two prefills at once would stretch the gaps between
 // tokens beyond what callers accept.
-func (p *Planner) chooseSelfPrefiller(now clock.Millis, req Ask, h health, decode, prefill *engine, reason string) *engine {
+func (p *Planner) chooseSelfPrefiller(now clock.Millis, req Request, h health, decode, prefill *engine, reason string) *engine {
 	if req.Part != Both || req.Late || prefill == nil && reason != ReasonBusy {
 		return nil
 	}
@@ -40,7 +40,7 @@
 	if self == nil {
 		return nil
 	}
-	combined := p.model.Likely(pace.Whole, req.Service, self.ID, req.Prompt)
+	combined := p.model.Median(pace.LocalPrefillTime, req.Service, self.ID, req.Prompt)
 	if combined >= separate || combined > req.Budget {
 		return nil
 	}
@@ -48,7 +48,7 @@
 }
 
 // minSelfPrefillWait is how long until some decode engine is free to prefill a prompt.
-func (p *Planner) minSelfPrefillWait(now clock.Millis, req Ask) time.Duration {
+func (p *Planner) minSelfPrefillWait(now clock.Millis, req Request) time.Duration {
 	least := time.Duration(math.MaxInt64)
 	for _, e := range p.engines {
 		if e.Stage != directory.Prefill && e.canServe(req) {
--- a/internal/quarantine/ends.go
+++ b/internal/quarantine/ends.go
@@ -18,16 +18,16 @@
 	return End{work: w, fingerprint: w.Fingerprint(), endpoint: endpoint}
 }
 
-// Twice reports whether the request of last also ran at another endpoint among ends.
-func Twice(ends []End, last End) bool {
+// EndedElsewhere reports whether the request of last also ran at another endpoint among ends.
+func EndedElsewhere(ends []End, last End) bool {
 	return slices.ContainsFunc(ends, func(e End) bool { return e.fingerprint == last.fingerprint && e.endpoint != last.endpoint })
 }
 
-// Blamed returns those of the collected ends that count against their requests: all of
+// Attributable returns those of the collected ends that count against their requests: all of
 // them, unless several endpoints ended together. A fault that ends many endpoints at once
 // is unlikely to come from a request, so only requests that ran at two of them are
 // returned. This protects harmless requests that two successive waves of crashes interrupt.
-func Blamed(ends []End) []End {
+func Attributable(ends []End) []End {
 	endpoints := map[string]bool{}
 	for _, e := range ends {
 		endpoints[e.endpoint] = true
@@ -37,7 +37,7 @@
 	}
 	var blamed []End
 	for _, e := range ends {
-		if Twice(ends, e) {
+		if EndedElsewhere(ends, e) {
 			blamed = append(blamed, e)
 		}
 	}
--- a/internal/quarantine/ends_test.go
+++ b/internal/quarantine/ends_test.go
@@ -27,7 +27,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			qt.Assert(t, quarantine.Blamed(test.ends), qt.HasLen, test.blamed)
+			qt.Assert(t, quarantine.Attributable(test.ends), qt.HasLen, test.blamed)
 		})
 	}
 }
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -32,13 +32,13 @@
 	Cleared clock.Millis `cbor:"3,keyasint,omitempty"`
 	// Seen is when an endpoint that ran the request last ended, or when it was cleared.
 	Seen clock.Millis `cbor:"4,keyasint"`
-	// Vouched is set if the request ran to completion shortly before an end.
-	Vouched bool `cbor:"5,keyasint,omitempty"`
+	// RecentlyCompleted is set if the request ran to completion shortly before an end.
+	RecentlyCompleted bool `cbor:"5,keyasint,omitempty"`
 }
 
 // Held reports whether the request must not be run any more.
 func (r Record) Held() bool {
-	if r.Vouched {
+	if r.RecentlyCompleted {
 		return len(r.Ended) >= RecentHoldThreshold
 	}
 	return len(r.Ended) >= HoldThreshold
@@ -46,7 +46,7 @@
 
 // equal reports whether r and o agree in all but the time of the last event.
 func (r Record) equal(o Record) bool {
-	return r.Cleared == o.Cleared && r.Vouched == o.Vouched && slices.Equal(r.Ended, o.Ended)
+	return r.Cleared == o.Cleared && r.RecentlyCompleted == o.RecentlyCompleted && slices.Equal(r.Ended, o.Ended)
 }
 
 // merge combines two records of the same request.
@@ -64,6 +64,6 @@
 	slices.Sort(ended)
 	ended = slices.Compact(ended)
 	return Record{
-		Work: a.Work, Cleared: a.Cleared, Seen: seen, Vouched: a.Vouched || b.Vouched, Ended: ended[:min(len(ended), RecentHoldThreshold)],
+		Work: a.Work, Cleared: a.Cleared, Seen: seen, RecentlyCompleted: a.RecentlyCompleted || b.RecentlyCompleted, Ended: ended[:min(len(ended), RecentHoldThreshold)],
 	}
 }
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -26,8 +26,8 @@
 	Revision int64 // of the store
 }
 
-// Release is the removal of a request's record from the store.
-type Release struct {
+// Removal is the removal of a request's record from the store.
+type Removal struct {
 	Work     Fingerprint
 	Revision int64 // of the store
 }
@@ -66,12 +66,12 @@
 // RecordEnd records that an endpoint ended while it ran the request. It returns the merged
 // record, and true if it changed and must be announced to other instances.
 func (t *Table) RecordEnd(now clock.Millis, w Work, endpoint string) (Record, bool) {
-	return t.Blame(now, NewEnd(w, endpoint))
+	return t.AddEnd(now, NewEnd(w, endpoint))
 }
 
-// Blame is RecordEnd for an End that was created earlier.
-func (t *Table) Blame(now clock.Millis, e End) (Record, bool) {
-	r := Record{Work: e.fingerprint, Ended: []string{e.endpoint}, Seen: now, Vouched: t.completions.has(now, e.work)}
+// AddEnd is RecordEnd for an End that was created earlier.
+func (t *Table) AddEnd(now clock.Millis, e End) (Record, bool) {
+	r := Record{Work: e.fingerprint, Ended: []string{e.endpoint}, Seen: now, RecentlyCompleted: t.completions.has(now, e.work)}
 	if before := t.records[r.Work]; before != nil {
 		r.Cleared = before.Cleared
 	}
@@ -82,9 +82,9 @@
 	return merged, changed
 }
 
-// Completed records that the request ran to completion, which clears it. If the request
+// RecordCompletion records that the request ran to completion, which clears it. If the request
 // was suspected, it returns the record to announce to other instances, and true.
-func (t *Table) Completed(now clock.Millis, w Work) (Record, bool) {
+func (t *Table) RecordCompletion(now clock.Millis, w Work) (Record, bool) {
 	t.completions.add(now, w)
 	if t.Empty() {
 		return Record{}, false
@@ -96,9 +96,9 @@
 	return t.mergeRecord(now, Record{Work: h.Work, Cleared: max(now, h.Cleared+1), Seen: now})
 }
 
-// Take merges a record from another instance into the table. It returns the merged
+// Merge merges a record from another instance into the table. It returns the merged
 // record and whether it changed.
-func (t *Table) Take(now clock.Millis, r Record) (Record, bool) { return t.mergeRecord(now, r) }
+func (t *Table) Merge(now clock.Millis, r Record) (Record, bool) { return t.mergeRecord(now, r) }
 
 func (t *Table) mergeRecord(now clock.Millis, r Record) (Record, bool) {
 	if len(r.Ended) == 0 && r.Cleared == 0 || now.Sub(r.Seen) > retention(r) {
@@ -147,23 +147,23 @@
 
 // Expire drops the records that are past their retention, and returns those of them that
 // the store has.
-func (t *Table) Expire(now clock.Millis) []Release {
-	var expired []Release
+func (t *Table) Expire(now clock.Millis) []Removal {
+	var expired []Removal
 	for work, h := range t.records {
 		if now.Sub(h.Seen) <= retention(h.Record) {
 			continue
 		}
 		delete(t.records, work)
 		if h.revision != 0 {
-			expired = append(expired, Release{Work: work, Revision: h.revision})
+			expired = append(expired, Removal{Work: work, Revision: h.revision})
 		}
 	}
 	return expired
 }
 
-// Saved merges a record that the store has. It returns the merged record and whether it
+// MergeStored merges a record that the store has. It returns the merged record and whether it
 // changed.
-func (t *Table) Saved(now clock.Millis, s Stored) (Record, bool) {
+func (t *Table) MergeStored(now clock.Millis, s Stored) (Record, bool) {
 	r, changed := t.mergeRecord(now, s.Record)
 	if h := t.records[s.Work]; h != nil {
 		h.revision = max(h.revision, s.Revision)
@@ -171,10 +171,10 @@
 	return r, changed
 }
 
-// Released handles the removal of a record from the store, by an operator or because the
+// ApplyRemoval handles the removal of a record from the store, by an operator or because the
 // request was cleared. If the request was held here, it clears it and returns the record
 // and true.
-func (t *Table) Released(now clock.Millis, removal Release) (Record, bool) {
+func (t *Table) ApplyRemoval(now clock.Millis, removal Removal) (Record, bool) {
 	h := t.records[removal.Work]
 	if h == nil || h.revision == 0 || h.revision > removal.Revision {
 		return Record{}, false
@@ -188,15 +188,15 @@
 
 // Missing returns the records that the store had, but that a full listing of it as of
 // revision does not contain.
-func (t *Table) Missing(all []Stored, revision int64) []Release {
+func (t *Table) Missing(all []Stored, revision int64) []Removal {
 	listed := map[Fingerprint]bool{}
 	for _, s := range all {
 		listed[s.Work] = true
 	}
-	var gone []Release
+	var gone []Removal
 	for work, h := range t.records {
 		if h.revision != 0 && h.revision <= revision && !listed[work] {
-			gone = append(gone, Release{Work: work, Revision: revision})
+			gone = append(gone, Removal{Work: work, Revision: revision})
 		}
 	}
 	return gone
@@ -215,12 +215,12 @@
 	return sorted(list)
 }
 
-// Unneeded returns the stored records of requests that are not held any more.
-func (t *Table) Unneeded() []Release {
-	var list []Release
+// Obsolete returns the stored records of requests that are not held any more.
+func (t *Table) Obsolete() []Removal {
+	var list []Removal
 	for work, h := range t.records {
 		if !h.Held() && h.revision != 0 {
-			list = append(list, Release{Work: work, Revision: h.revision})
+			list = append(list, Removal{Work: work, Revision: h.revision})
 		}
 	}
 	return list
@@ -237,9 +237,9 @@
 	return digest
 }
 
-// Firm returns up to limit records of requests that are held or were cleared, the most
+// Settled returns up to limit records of requests that are held or were cleared, the most
 // recently seen first.
-func (t *Table) Firm(limit int) []Record {
+func (t *Table) Settled(limit int) []Record {
 	var list []Record
 	for _, h := range t.records {
 		if h.Held() || h.Cleared != 0 {
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -59,7 +59,7 @@
 			table, now := quarantine.NewTable(), start
 			for _, s := range test.steps {
 				if s.complete {
-					table.Completed(now, work("w"))
+					table.RecordCompletion(now, work("w"))
 				} else {
 					table.RecordEnd(now, work("w"), s.end)
 				}
@@ -90,10 +90,10 @@
 			var changed bool
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				r, changed = tables[i].Completed(now, w)
+				r, changed = tables[i].RecordCompletion(now, w)
 			case 1:
 				if len(announced) > 0 {
-					r, changed = tables[i].Take(now, announced[rapid.IntRange(0, len(announced)-1).Draw(t, "which")])
+					r, changed = tables[i].Merge(now, announced[rapid.IntRange(0, len(announced)-1).Draw(t, "which")])
 				}
 			default:
 				r, changed = tables[i].RecordEnd(now, w, "e"+strconv.Itoa(rapid.IntRange(0, 5).Draw(t, "endpoint")))
@@ -104,7 +104,7 @@
 		}
 		for i := range tables {
 			for _, n := range rapid.Permutation(announced).Draw(t, "order") {
-				tables[i].Take(now, n)
+				tables[i].Merge(now, n)
 			}
 		}
 		for name := range 3 {
@@ -132,25 +132,25 @@
 	c.Assert(own.Unsaved(start, true, grace), qt.HasLen, 0) // suspected only
 	r, _ := own.RecordEnd(start+1, work("w"), "b")
 	c.Assert(own.Unsaved(start+1, false, grace), qt.HasLen, 1)
-	other.Take(start+2, r)
+	other.Merge(start+2, r)
 	c.Assert(other.Unsaved(start+2, true, grace), qt.HasLen, 0)
 	c.Assert(other.Unsaved(start+1100, false, grace), qt.HasLen, 0)
 	c.Assert(other.Unsaved(start+1100, true, grace), qt.HasLen, 1) // the instance that observed the end has not saved it
 
 	stored := quarantine.Stored{Record: r, Revision: 7}
-	own.Saved(start+3, stored)
-	other.Saved(start+3, stored)
+	own.MergeStored(start+3, stored)
+	other.MergeStored(start+3, stored)
 	c.Assert(own.Unsaved(start+5000, true, grace), qt.HasLen, 0)
 	c.Assert(own.Missing([]quarantine.Stored{stored}, 9), qt.HasLen, 0)
 	c.Assert(own.Missing(nil, 6), qt.HasLen, 0) // an older listing
 	c.Assert(own.Missing(nil, 9), qt.HasLen, 1)
 
-	_, changed := own.Completed(start+10, work("w"))
+	_, changed := own.RecordCompletion(start+10, work("w"))
 	c.Assert(changed, qt.IsTrue)
-	c.Assert(own.Unneeded(), qt.DeepEquals, []quarantine.Release{{Work: r.Work, Revision: 7}})
-	_, changed = other.Released(start+11, quarantine.Release{Work: r.Work, Revision: 6})
+	c.Assert(own.Obsolete(), qt.DeepEquals, []quarantine.Removal{{Work: r.Work, Revision: 7}})
+	_, changed = other.ApplyRemoval(start+11, quarantine.Removal{Work: r.Work, Revision: 6})
 	c.Assert(changed, qt.IsFalse) // of an earlier record
-	_, changed = other.Released(start+11, quarantine.Release{Work: r.Work, Revision: 8})
+	_, changed = other.ApplyRemoval(start+11, quarantine.Removal{Work: r.Work, Revision: 8})
 	c.Assert(changed, qt.IsTrue)
 	c.Assert(other.Holds(work("w")), qt.IsFalse)
 	// After that, ends count from zero.
@@ -169,7 +169,7 @@
 	held, suspected := table.Count()
 	qt.Assert(t, held, qt.Equals, 1)
 	qt.Assert(t, suspected, qt.Equals, 4095)
-	qt.Assert(t, table.Firm(10), qt.HasLen, 1)
+	qt.Assert(t, table.Settled(10), qt.HasLen, 1)
 }
 
 // Measures the cost of a request that is not suspected: a lookup, and recording its
@@ -180,7 +180,7 @@
 			table, w := quarantine.NewTable(), quarantine.Work{Method: "POST", Host: "a", Target: "/x", Body: make([]byte, size)}
 			for b.Loop() {
 				if !table.Holds(w) {
-					table.Completed(start, w)
+					table.RecordCompletion(start, w)
 				}
 			}
 		})
