--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -35,7 +35,7 @@
 			s, err := query.Parse(test.text)
 			if test.column == 0 {
 				c.Assert(err, qt.IsNil)
-				c.Assert(s.Reads(), qt.Equals, test.reads)
+				c.Assert(s.ReadOnly(), qt.Equals, test.reads)
 				return
 			}
 			var syntax *query.SyntaxError
@@ -46,7 +46,7 @@
 }
 
 func ExampleTable_Write() {
-	t := query.Table{Columns: []string{"name", "free"}, Unheard: []string{"n4"}}
+	t := query.Table{Columns: []string{"name", "free"}, Missing: []string{"n4"}}
 	t.Add("b", "2")
 	t.Add("a", "10")
 	_ = t.Filter(nil, 1)
--- a/internal/query/statement.go
+++ b/internal/query/statement.go
@@ -108,5 +108,5 @@
 	return nil, syntaxErr
 }
 
-// Reads reports whether a statement is read-only.
-func (s *Statement) Reads() bool { return s.Show != nil || s.Explain != nil }
+// ReadOnly reports whether a statement is read-only.
+func (s *Statement) ReadOnly() bool { return s.Show != nil || s.Explain != nil }
--- a/internal/query/table.go
+++ b/internal/query/table.go
@@ -12,7 +12,7 @@
 type Table struct {
 	Columns  []string   `cbor:"1,keyasint" json:"columns"`
 	Rows     [][]string `cbor:"2,keyasint" json:"rows"`
-	Unheard  []string   `cbor:"3,keyasint" json:"unheard"` // nodes and zones that did not answer, so that their rows are missing
+	Missing  []string   `cbor:"3,keyasint" json:"unheard"` // nodes and zones that did not answer, so that their rows are missing
 	Revision int64      `cbor:"4,keyasint" json:"revision"`
 }
 
@@ -25,7 +25,7 @@
 		t.Columns = o.Columns
 	}
 	t.Rows = append(t.Rows, o.Rows...)
-	t.Unheard = append(t.Unheard, o.Unheard...)
+	t.Missing = append(t.Missing, o.Missing...)
 }
 
 // Filter keeps the rows that match all conditions, sorts them and cuts them off
@@ -57,8 +57,8 @@
 	if err := tw.Flush(); err != nil {
 		return Error.Wrap(err)
 	}
-	if len(t.Unheard) > 0 {
-		_, _ = fmt.Fprintln(w, "not heard:", strings.Join(t.Unheard, ", "))
+	if len(t.Missing) > 0 {
+		_, _ = fmt.Fprintln(w, "not heard:", strings.Join(t.Missing, ", "))
 	}
 	return nil
 }
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -98,15 +98,15 @@
 	}
 }
 
-// Take adds an instance's report.
-func (l *Ledger) Take(now clock.Millis, r Report) {
+// AddReport adds an instance's report.
+func (l *Ledger) AddReport(now clock.Millis, r Report) {
 	if l.reportsSince == 0 || now.Sub(l.lastReport) > memberTimeout {
 		l.reportsSince = now
 	}
 	l.lastReport = now
 	m := l.members[r.Instance]
-	if m == nil || m.incarnation != r.Life {
-		m = &member{incarnation: r.Life, uses: map[string]Use{}}
+	if m == nil || m.incarnation != r.Incarnation {
+		m = &member{incarnation: r.Incarnation, uses: map[string]Use{}}
 		l.members[r.Instance] = m
 		if r.Age > now.Sub(l.reportsSince) {
 			// Other ledgers counted what it used before this one received reports.
@@ -122,10 +122,10 @@
 	m.reportedAt = now
 	for _, u := range r.Uses {
 		before := m.uses[u.Workspace]
-		if u.Asked < before.Asked {
+		if u.Requested < before.Requested {
 			continue // overtaken by a later report
 		}
-		l.workspace(u.Workspace).addUse(now, gap, l.instances, u.Asked-before.Asked, u.Ran-before.Ran)
+		l.workspace(u.Workspace).addUse(now, gap, l.instances, u.Requested-before.Requested, u.Ran-before.Ran)
 		m.uses[u.Workspace] = u
 	}
 }
@@ -162,15 +162,15 @@
 // limit is divided. It keeps the shares defined for a rate of 0.
 const minRate = 0.01
 
-// Present lists the zones and instances according to the roster.
-type Present struct {
+// Membership lists the zones and instances according to the roster.
+type Membership struct {
 	Zones     map[string]bool
 	Instances map[string]bool // of this zone
 	Total     int             // in all zones; the largest number seen at once
 }
 
 // Step advances the time and evaluates each workspace against its limit.
-func (l *Ledger) Step(now clock.Millis, limits map[string]Limit, p Present) {
+func (l *Ledger) Step(now clock.Millis, limits map[string]Limit, p Membership) {
 	elapsed := min(now.Sub(l.lastStep), l.window)
 	if l.lastStep == 0 {
 		elapsed = 0
@@ -213,7 +213,7 @@
 			reserved += z.frozenShares[name]
 			continue
 		}
-		requested += z.rates[name].Asked
+		requested += z.rates[name].Requested
 		reserved += z.reserved
 	}
 	reserved = min(reserved, 1)
@@ -243,7 +243,7 @@
 
 // silentMembers returns how many of this zone's instances have stopped reporting and
 // may be using their share of the limits on their own.
-func (l *Ledger) silentMembers(now clock.Millis, p Present) int {
+func (l *Ledger) silentMembers(now clock.Millis, p Membership) int {
 	n := 0
 	for name, m := range l.members {
 		switch silence := now.Sub(m.reportedAt); {
@@ -256,13 +256,13 @@
 	return n
 }
 
-// Words returns the statuses of the workspaces near their limits, for admission. All
+// Statuses returns the statuses of the workspaces near their limits, for admission. All
 // other workspaces are admitted in full.
-func (l *Ledger) Words() []Word {
-	var list []Word
+func (l *Ledger) Statuses() []Status {
+	var list []Status
 	for name, w := range l.workspaces {
 		if l.isNearLimit(w) {
-			list = append(list, Word{Workspace: name, Pass: w.admitRatio, Used: w.usedInWindow})
+			list = append(list, Status{Workspace: name, AdmitRatio: w.admitRatio, Used: w.usedInWindow})
 		}
 	}
 	return list
@@ -272,8 +272,8 @@
 	return w.admitRatio < 1 || w.usedInWindow > nearLimitRatio*w.limit.allowance(l.window)
 }
 
-// Near reports whether some workspace is near its limit.
-func (l *Ledger) Near() bool {
+// NearLimit reports whether some workspace is near its limit.
+func (l *Ledger) NearLimit() bool {
 	for _, w := range l.workspaces {
 		if l.isNearLimit(w) {
 			return true
@@ -282,9 +282,9 @@
 	return false
 }
 
-// Held returns the workspaces that are not admitted in full, with what they used in a
+// Throttled returns the workspaces that are not admitted in full, with what they used in a
 // window.
-func (l *Ledger) Held() map[string]float64 {
+func (l *Ledger) Throttled() map[string]float64 {
 	used := map[string]float64{}
 	for name, w := range l.workspaces {
 		if w.admitRatio < 1 {
--- a/internal/quota/main_test.go
+++ b/internal/quota/main_test.go
@@ -10,4 +10,4 @@
 // fleetChecks is small because each check simulates tens of seconds of a whole fleet.
 const fleetChecks = 150
 
-func TestMain(m *testing.M) { os.Exit(seed.MainOf(m, fleetChecks)) }
+func TestMain(m *testing.M) { os.Exit(seed.MainWithChecks(m, fleetChecks)) }
--- a/internal/quota/message.go
+++ b/internal/quota/message.go
@@ -16,37 +16,37 @@
 // does no harm.
 type Use struct {
 	Workspace string  `cbor:"1,keyasint"`
-	Asked     float64 `cbor:"2,keyasint"`
+	Requested float64 `cbor:"2,keyasint"`
 	Ran       float64 `cbor:"3,keyasint"`
 }
 
-// Word is the status of one workspace near its limit, which a ledger sends to its zone.
-type Word struct {
-	Workspace string  `cbor:"1,keyasint"`
-	Pass      float64 `cbor:"2,keyasint"` // fraction of the requests that may be admitted
-	Used      float64 `cbor:"3,keyasint"` // units that ran within a window
+// Status is the status of one workspace near its limit, which a ledger sends to its zone.
+type Status struct {
+	Workspace  string  `cbor:"1,keyasint"`
+	AdmitRatio float64 `cbor:"2,keyasint"` // fraction of the requests that may be admitted
+	Used       float64 `cbor:"3,keyasint"` // units that ran within a window
 }
 
 // Rates is what was requested from one zone for a workspace and what of it ran.
 type Rates struct {
 	Workspace string  `cbor:"1,keyasint"`
-	Asked     float64 `cbor:"2,keyasint"` // units a second
+	Requested float64 `cbor:"2,keyasint"` // units a second
 	Ran       float64 `cbor:"3,keyasint"` // units a second
 	Total     float64 `cbor:"4,keyasint"` // units that ran since the ledger started
 }
 
 // Sums is what one zone's ledger sends to the others.
 type Sums struct {
-	Zone  string  `cbor:"1,keyasint"`
-	Life  uint64  `cbor:"2,keyasint"` // of the ledger: totals of different ledgers cannot be compared
-	Rates []Rates `cbor:"3,keyasint"`
-	Away  float64 `cbor:"4,keyasint"` // fraction of each limit that is reserved for silent instances
+	Zone        string  `cbor:"1,keyasint"`
+	Incarnation uint64  `cbor:"2,keyasint"` // of the ledger: totals of different ledgers cannot be compared
+	Rates       []Rates `cbor:"3,keyasint"`
+	Reserved    float64 `cbor:"4,keyasint"` // fraction of each limit that is reserved for silent instances
 }
 
 // Report is what one instance sends to the ledgers of its zone.
 type Report struct {
-	Instance string        `cbor:"1,keyasint"`
-	Life     uint64        `cbor:"2,keyasint"` // changes when the instance restarts
-	Age      time.Duration `cbor:"3,keyasint"` // time since that start
-	Uses     []Use         `cbor:"4,keyasint"`
+	Instance    string        `cbor:"1,keyasint"`
+	Incarnation uint64        `cbor:"2,keyasint"` // changes when the instance restarts
+	Age         time.Duration `cbor:"3,keyasint"` // time since that start
+	Uses        []Use         `cbor:"4,keyasint"`
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -245,7 +245,7 @@
 	c := qt.New(t)
 	const instances = 26
 	l := quota.NewLedger("z", 1, window)
-	p := quota.Present{Zones: map[string]bool{"z": true}, Instances: map[string]bool{}, Total: instances}
+	p := quota.Membership{Zones: map[string]bool{"z": true}, Instances: map[string]bool{}, Total: instances}
 	limits := map[string]quota.Limit{"w": largeLimit}
 	now := clock.Millis(100_000)
 	ran := 0.0
@@ -254,7 +254,7 @@
 		ran += usualRatio * largeLimit.Rate * tick.Seconds() / instances
 		for n := range instances {
 			if reported(n) {
-				l.Take(now, quota.Report{Instance: fmt.Sprint(n), Life: 1, Uses: []quota.Use{{Workspace: "w", Asked: ran, Ran: ran}}})
+				l.AddReport(now, quota.Report{Instance: fmt.Sprint(n), Incarnation: 1, Uses: []quota.Use{{Workspace: "w", Requested: ran, Ran: ran}}})
 			}
 		}
 		l.Step(now, limits, p)
@@ -267,8 +267,8 @@
 	}
 	for range 60 {
 		step(func(int) bool { return true })
-		for _, w := range l.Words() {
-			c.Assert(w.Pass, qt.Equals, 1.0, qt.Commentf("used %.1f of %.1f", w.Used, largeLimit.Rate*window.Seconds()+largeLimit.Burst))
+		for _, w := range l.Statuses() {
+			c.Assert(w.AdmitRatio, qt.Equals, 1.0, qt.Commentf("used %.1f of %.1f", w.Used, largeLimit.Rate*window.Seconds()+largeLimit.Burst))
 		}
 	}
 }
--- a/internal/quota/world_test.go
+++ b/internal/quota/world_test.go
@@ -175,10 +175,10 @@
 	phase := (int64(w.now)/tick.Milliseconds() + int64(i.index)) * tick.Milliseconds()
 	all := phase%fullReportInterval.Milliseconds() == 0
 	zone := w.ledgerInstances(i.zone)
-	if all || i.gate.Near() || phase%sumsInterval.Milliseconds() == 0 {
-		r := quota.Report{Instance: i.name, Life: i.incarnation, Age: w.now.Sub(i.startedAt), Uses: i.gate.Report(all)}
+	if all || i.gate.NearLimit() || phase%sumsInterval.Milliseconds() == 0 {
+		r := quota.Report{Instance: i.name, Incarnation: i.incarnation, Age: w.now.Sub(i.startedAt), Uses: i.gate.Report(all)}
 		for _, k := range zone {
-			w.send(i, k, r, func() { k.ledger.Take(w.now, r) })
+			w.send(i, k, r, func() { k.ledger.AddReport(w.now, r) })
 		}
 	}
 	for rank, k := range zone {
@@ -189,7 +189,7 @@
 }
 
 func (w *world) runLedger(i *instance, rank int, all, sums bool) {
-	p := quota.Present{Zones: map[string]bool{}, Instances: map[string]bool{}, Total: len(w.instances)}
+	p := quota.Membership{Zones: map[string]bool{}, Instances: map[string]bool{}, Total: len(w.instances)}
 	for _, o := range w.instances {
 		p.Zones[o.zone] = true
 		p.Instances[o.name] = p.Instances[o.name] || o.zone == i.zone
@@ -198,25 +198,25 @@
 	if rank > 0 && w.now.Sub(i.statusAt) <= 600*time.Millisecond {
 		return
 	}
-	if all || i.ledger.Near() {
-		statuses := i.ledger.Words()
+	if all || i.ledger.NearLimit() {
+		statuses := i.ledger.Statuses()
 		for _, o := range w.instances {
 			if o.zone == i.zone {
 				w.send(i, o, statuses, func() {
 					if o != i {
 						o.statusAt = w.now
 					}
-					o.gate.Hear(w.now, statuses)
+					o.gate.Update(w.now, statuses)
 				})
 			}
 		}
 	}
-	if sums || i.ledger.Near() {
+	if sums || i.ledger.NearLimit() {
 		sums := i.ledger.Sums(w.now)
 		for _, zone := range w.zones {
 			for _, o := range w.ledgerInstances(zone) {
 				if o.zone != i.zone {
-					w.send(i, o, sums, func() { o.ledger.TakeSums(w.now, sums) })
+					w.send(i, o, sums, func() { o.ledger.AddSums(w.now, sums) })
 				}
 			}
 		}
--- a/internal/quota/zone.go
+++ b/internal/quota/zone.go
@@ -15,10 +15,10 @@
 	frozenShares map[string]float64 // its shares of the limits when it fell silent; nil while its sums are current
 }
 
-// TakeSums adds another zone's sums. What ran there is added as reported. After a gap
+// AddSums adds another zone's sums. What ran there is added as reported. After a gap
 // it is spread over the gap, less the share that was reserved for the zone meanwhile.
-func (l *Ledger) TakeSums(now clock.Millis, s Sums) {
-	z := &zoneState{receivedAt: now, incarnation: s.Life, reserved: s.Away, rates: make(map[string]Rates, len(s.Rates))}
+func (l *Ledger) AddSums(now clock.Millis, s Sums) {
+	z := &zoneState{receivedAt: now, incarnation: s.Incarnation, reserved: s.Reserved, rates: make(map[string]Rates, len(s.Rates))}
 	before := l.zones[s.Zone]
 	for _, r := range s.Rates {
 		z.rates[r.Workspace] = r
@@ -27,7 +27,7 @@
 		}
 		gap := now.Sub(before.receivedAt)
 		ran := r.Total - before.rates[r.Workspace].Total
-		if before.incarnation != s.Life {
+		if before.incarnation != s.Incarnation {
 			ran = r.Ran * min(gap, zoneTimeout).Seconds()
 		}
 		w := l.workspace(r.Workspace)
@@ -41,10 +41,10 @@
 
 // Sums returns this zone's sums for the ledgers of other zones.
 func (l *Ledger) Sums(now clock.Millis) Sums {
-	s := Sums{Zone: l.zone, Life: l.incarnation, Away: l.reserved}
+	s := Sums{Zone: l.zone, Incarnation: l.incarnation, Reserved: l.reserved}
 	for name, w := range l.workspaces {
 		if w.totalRan > 0 {
-			s.Rates = append(s.Rates, Rates{Workspace: name, Asked: w.requested.now(now), Ran: w.ran.now(now), Total: w.totalRan})
+			s.Rates = append(s.Rates, Rates{Workspace: name, Requested: w.requested.now(now), Ran: w.ran.now(now), Total: w.totalRan})
 		}
 	}
 	return s
@@ -52,7 +52,7 @@
 
 // trackZones detects zones that have fallen silent and freezes their shares of the
 // limits, according to the demand there.
-func (l *Ledger) trackZones(now clock.Millis, limits map[string]Limit, p Present) {
+func (l *Ledger) trackZones(now clock.Millis, limits map[string]Limit, p Membership) {
 	for zone := range p.Zones {
 		if zone != l.zone && l.zones[zone] == nil {
 			l.zones[zone] = &zoneState{receivedAt: now.Add(-zoneTimeout - time.Millisecond)} // no sums received yet
@@ -76,9 +76,9 @@
 		minShare := evenFraction*limit.Rate + minRate
 		total := l.workspace(name).requested.now(now) + minShare
 		for _, z := range l.zones {
-			total += z.rates[name].Asked + minShare
+			total += z.rates[name].Requested + minShare
 		}
-		shares[name] = (zone.rates[name].Asked + minShare) / total
+		shares[name] = (zone.rates[name].Requested + minShare) / total
 	}
 	return shares
 }
--- a/internal/ratelimit/table.go
+++ b/internal/ratelimit/table.go
@@ -37,7 +37,7 @@
 	Endpoint string        `cbor:"1,keyasint"`           // the endpoint's ID, new at each restart
 	Zone     string        `cbor:"2,keyasint"`           // the endpoint's
 	Rate     float64       `cbor:"3,keyasint"`           // requests a second from all instances
-	Over     bool          `cbor:"4,keyasint,omitempty"` // the limit was lifted
+	Lifted   bool          `cbor:"4,keyasint,omitempty"` // the limit was lifted
 	Age      time.Duration `cbor:"5,keyasint"`           // since the response arrived
 }
 
@@ -65,19 +65,19 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{limits: map[string]observation{}, cold: map[string]coldLimit{}} }
 
-// Warming records that an endpoint is cold for the time left and limited to rate
+// ObserveCold records that an endpoint is cold for the time left and limited to rate
 // meanwhile. It reports whether the endpoint was not known to be cold before.
-func (t *Table) Warming(now clock.Millis, endpoint, zone string, rate float64, left time.Duration) (added bool) {
+func (t *Table) ObserveCold(now clock.Millis, endpoint, zone string, rate float64, left time.Duration) (added bool) {
 	_, known := t.cold[endpoint]
 	t.cold[endpoint] = coldLimit{zone: zone, rate: rate, until: now.Add(left)}
 	return !known
 }
 
-// Named records that a response of an endpoint named a rate. It reports whether the
+// ObserveLimit records that a response of an endpoint named a rate. It reports whether the
 // limit changed.
-func (t *Table) Named(now clock.Millis, endpoint, zone string, rate float64) (changed bool) {
+func (t *Table) ObserveLimit(now clock.Millis, endpoint, zone string, rate float64) (changed bool) {
 	before, known := t.limits[endpoint]
-	if known && !before.Over && math.Abs(rate-before.Rate) <= rateTolerance*before.Rate {
+	if known && !before.Lifted && math.Abs(rate-before.Rate) <= rateTolerance*before.Rate {
 		before.observedAt = now
 		t.limits[endpoint] = before
 		return false
@@ -86,15 +86,15 @@
 	return true
 }
 
-// Unnamed records that an endpoint answered a request successfully without naming a
-// limit. A request sent before the limit was observed does not lift it. Unnamed reports
+// ObserveNoLimit records that an endpoint answered a request successfully without naming a
+// limit. A request sent before the limit was observed does not lift it. ObserveNoLimit reports
 // whether the limit was lifted.
-func (t *Table) Unnamed(now clock.Millis, endpoint string, sent clock.Millis) (changed bool) {
+func (t *Table) ObserveNoLimit(now clock.Millis, endpoint string, sent clock.Millis) (changed bool) {
 	o, known := t.limits[endpoint]
-	if !known || o.Over || sent <= o.observedAt {
+	if !known || o.Lifted || sent <= o.observedAt {
 		return false
 	}
-	o.Over, o.observedAt = true, now
+	o.Lifted, o.observedAt = true, now
 	t.limits[endpoint] = o
 	return true
 }
@@ -105,7 +105,7 @@
 		o := observation{Statement: s, observedAt: now.Add(-s.Age)}
 		before, known := t.limits[s.Endpoint]
 		switch {
-		case !known && s.Over:
+		case !known && s.Lifted:
 		case !known, before.differs(s) && o.observedAt > before.observedAt:
 			t.limits[s.Endpoint] = o
 			changes = append(changes, s)
@@ -117,14 +117,14 @@
 }
 
 func (o observation) differs(s Statement) bool {
-	return o.Over != s.Over || !s.Over && o.Rate != s.Rate
+	return o.Lifted != s.Lifted || !s.Lifted && o.Rate != s.Rate
 }
 
 // Limit returns the rate to which an endpoint is limited, if it is, and the endpoint's
 // zone.
 func (t *Table) Limit(endpoint string) (rate float64, zone string, limited bool) {
 	o, named := t.limits[endpoint]
-	named = named && !o.Over
+	named = named && !o.Lifted
 	c, cold := t.cold[endpoint]
 	switch {
 	case named && cold:
@@ -136,8 +136,8 @@
 	}
 }
 
-// Binds reports whether an endpoint is limited.
-func (t *Table) Binds(endpoint string) bool {
+// IsLimited reports whether an endpoint is limited.
+func (t *Table) IsLimited(endpoint string) bool {
 	_, _, limited := t.Limit(endpoint)
 	return limited
 }
@@ -147,7 +147,7 @@
 func (t *Table) Digest() uint64 {
 	var sum uint64
 	for _, o := range t.limits {
-		if !o.Over {
+		if !o.Lifted {
 			sum ^= xxhash.Sum64String(o.Endpoint + "\x00" + strconv.FormatFloat(o.Rate, 'g', -1, 64))
 		}
 	}
@@ -164,8 +164,8 @@
 	return list
 }
 
-// Bound returns the limited endpoints with their effective rates.
-func (t *Table) Bound() []Statement {
+// Limited returns the limited endpoints with their effective rates.
+func (t *Table) Limited() []Statement {
 	list := make([]Statement, 0, len(t.limits)+len(t.cold))
 	add := func(endpoint string) {
 		rate, zone, limited := t.Limit(endpoint)
@@ -193,7 +193,7 @@
 	}
 	for endpoint, o := range t.limits {
 		age := now.Sub(o.observedAt)
-		if o.Over && age > liftedRetention || age > limitRetention {
+		if o.Lifted && age > liftedRetention || age > limitRetention {
 			delete(t.limits, endpoint)
 		}
 	}
@@ -203,13 +203,13 @@
 func (t *Table) Empty() bool { return len(t.limits) == 0 && len(t.cold) == 0 }
 
 // Size returns the number of limited endpoints.
-func (t *Table) Size() int { return len(t.Bound()) }
+func (t *Table) Size() int { return len(t.Limited()) }
 
 // Zones returns the zones of the limited endpoints.
 func (t *Table) Zones() []string {
 	var list []string
 	seen := map[string]bool{}
-	for _, s := range t.Bound() {
+	for _, s := range t.Limited() {
 		if !seen[s.Zone] {
 			seen[s.Zone] = true
 			list = append(list, s.Zone)
--- a/internal/relay/hint.go
+++ b/internal/relay/hint.go
@@ -13,7 +13,7 @@
 
 const (
 	// minAnnounceAge is how long after its start an instance sends no hints to its zone.
-	minAnnounceAge = roster.JoinTime / 2
+	minAnnounceAge = roster.JoinDelay / 2
 	// backupDelayFraction is the delay of the second watcher, as a fraction of the time
 	// within which a change must be in force. It exceeds the eighth of that time during
 	// which the first watcher may collect changes.
@@ -32,12 +32,12 @@
 	ReadStore bool      `cbor:"6,keyasint,omitempty"` // for a configuration of that version
 }
 
-// Told announces changes read from the store. Only the instances that watch the store
+// Announce announces changes read from the store. Only the instances that watch the store
 // announce them: if all did, as when a whole fleet starts, every instance would connect to
 // every other. The first watcher announces at once. The second does so after a delay and
 // leaves out what the first has announced, so that each change crosses the zone's links
 // once.
-func (r *Relay) Told() {
+func (r *Relay) Announce() {
 	switch {
 	case !r.isAnnouncer():
 	case r.rank() == 0:
@@ -81,7 +81,7 @@
 // announcement.
 func (r *Relay) sendHint(revision int64, to []roster.Instance) {
 	v := r.Directory.View()
-	if v.Doubtful {
+	if v.Uncertain {
 		return // an instance whose view is certain makes the announcement
 	}
 	var addresses []netip.AddrPort
@@ -109,7 +109,7 @@
 	since := r.announced
 	r.announced = max(r.announced, v.Revision)
 	r.mu.Unlock()
-	if since == 0 || v.TableRev > since && !r.configurationFromStore(v) {
+	if since == 0 || v.TableRevision > since && !r.configurationFromStore(v) {
 		return nil // each instance requests a new configuration, unless it is read from the store
 	}
 	for more := since < v.Revision; more; {
--- a/internal/relay/hint_test.go
+++ b/internal/relay/hint_test.go
@@ -39,18 +39,18 @@
 	t.Cleanup(func() { _ = log.Close() })
 	all := roster.New(now)
 	for n := range 9 {
-		all.See(roster.Instance{Name: fmt.Sprint("n", n), Zone: "a", Revision: 1, Address: netip.MustParseAddrPort("127.0.0.1:1")})
+		all.Update(roster.Instance{Name: fmt.Sprint("n", n), Zone: "a", Revision: 1, Address: netip.MustParseAddrPort("127.0.0.1:1")})
 	}
 	d := directory.New()
 	rt.Relay = New(Options{
 		Directory: d, Roster: all, Now: now, Zone: "a", Log: log, Scope: tally.NoopScope, Fresh: freshness.New(2 * time.Second),
-		Tell:       func(e directory.Event) { d.Apply(rt.now, e) },
-		Instances:  func([]roster.Instance, []roster.Departure, bool, int64) {},
-		Configure:  func() { rt.configurationReads++ },
-		List:       func() { rt.listings++ },
-		CatchUp:    func() { rt.catchUps = append(rt.catchUps, d.View().Revision) },
-		CatchingUp: func() bool { return rt.catchingUp },
-		Head:       func(context.Context) (int64, error) { return 99, nil },
+		ApplyEvent:     func(e directory.Event) { d.Apply(rt.now, e) },
+		ApplyInstances: func([]roster.Instance, []roster.Removal, bool, int64) {},
+		Configure:      func() { rt.configurationReads++ },
+		List:           func() { rt.listings++ },
+		CatchUp:        func() { rt.catchUps = append(rt.catchUps, d.View().Revision) },
+		CatchingUp:     func() bool { return rt.catchingUp },
+		HeadRevision:   func(context.Context) (int64, error) { return 99, nil },
 	})
 	for _, i := range all.Ranked("a", roleWatch) {
 		rt.Name = i.Name // the last in rank
@@ -103,7 +103,7 @@
 	rt := newMember(t)
 	first := peer.Sender{Name: rt.Roster.Ranked("a", roleWatch)[0].Name}
 	change := func(revision int64) *directory.View {
-		rt.Tell(directory.Seen{Endpoint: directory.Endpoint{ID: fmt.Sprint("e", revision), Service: "llm", Zone: "a", Revision: revision}})
+		rt.ApplyEvent(directory.Seen{Endpoint: directory.Endpoint{ID: fmt.Sprint("e", revision), Service: "llm", Zone: "a", Revision: revision}})
 		return rt.Directory.View()
 	}
 	rt.receiveHint(first, Hint{Revision: 10, Digest: 1})
@@ -133,7 +133,7 @@
 	c.Check(rt.configurationReads, qt.Equals, 1)
 	rt.retryConfiguration(rt.now + 500)
 	c.Check(rt.configurationReads, qt.Equals, 2)
-	rt.Tell(configured(t, 2, 11))
+	rt.ApplyEvent(configured(t, 2, 11))
 	rt.retryConfiguration(rt.now + 2000)
 	c.Check(rt.configurationReads, qt.Equals, 2)
 	resp = rt.buildResponse(rt.Directory.View(), Request{Version: 1, Revision: 10})
@@ -158,7 +158,7 @@
 	rt.lag(t.Context(), 200*time.Millisecond)
 	c.Check(rt.catchUps, qt.DeepEquals, []int64{10})
 	c.Check(rt.listings, qt.Equals, 0)
-	rt.Tell(directory.StoreReached{Revision: 20})
+	rt.ApplyEvent(directory.StoreReached{Revision: 20})
 	rt.lag(t.Context(), 200*time.Millisecond)
 	c.Check(rt.catchUps, qt.DeepEquals, []int64{10, 20})
 	c.Check(rt.listings, qt.Equals, 0)
@@ -189,17 +189,17 @@
 		rt := newMember(t)
 		own, err := peer.NewIdentity("own")
 		c.Assert(err, qt.IsNil)
-		rt.Transport, err = peer.Listen("own", netip.MustParseAddrPort("127.0.0.1:0"), peer.Pinned(own, func(string) (string, bool) { return "", false }), tally.NoopScope)
+		rt.Transport, err = peer.Listen("own", netip.MustParseAddrPort("127.0.0.1:0"), peer.PinnedTLS(own, func(string) (string, bool) { return "", false }), tally.NoopScope)
 		c.Assert(err, qt.IsNil)
 		t.Cleanup(func() { _ = rt.Transport.Close() })
 		rt.Name = rt.Roster.Ranked("a", roleWatch)[rank].Name
 		rt.announced = 9
-		rt.Told()
+		rt.Announce()
 		rt.announceDue(rt.now)
 		c.Check(rt.announced, qt.Equals, int64(9)) // the other instances are not known yet
 		rt.announceDue(rt.now.Add(minAnnounceAge))
 		c.Check(rt.announced, qt.Equals, int64(9)) // still too early when many instances start together
-		rt.now = rt.now.Add(roster.JoinTime)
+		rt.now = rt.now.Add(roster.JoinDelay)
 		rt.announceDue(rt.now)
 		want := int64(9)
 		if rank < watchersPerZone {
--- a/internal/relay/pull.go
+++ b/internal/relay/pull.go
@@ -62,7 +62,7 @@
 func (r *Relay) request(ctx context.Context, other roster.Instance, req Request, timeout time.Duration) (Response, bool) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	resp, err := peer.Ask[Request, Response](ctx, r.Transport, other.Address, topicRequest, req)
+	resp, err := peer.Call[Request, Response](ctx, r.Transport, other.Address, topicRequest, req)
 	if err != nil {
 		r.Scope.Counter("relay_unanswered").Inc(1)
 		return resp, false
@@ -79,7 +79,7 @@
 		if err != nil {
 			r.Log.Write(eventlog.Line{Event: eventlog.Unreadable, Address: other.Address.String(), Detail: err.Error()})
 		} else {
-			r.Tell(directory.Configured{Table: table, Revision: resp.TableRevision})
+			r.ApplyEvent(directory.Configured{Table: table, Revision: resp.TableRevision})
 		}
 	}
 	if resp.ReadStore {
@@ -99,8 +99,8 @@
 	if resp.Revision < req.Revision || resp.Revision == req.Revision && !resp.Complete {
 		return
 	}
-	r.Instances(resp.Instances, resp.RemovedInstances, resp.Complete, resp.Revision) // first, as in the feed
-	r.Tell(directory.Relayed{Whole: resp.Complete, Endpoints: resp.Endpoints, Gone: resp.Removed, Evacuations: resp.Evacuations, Revision: resp.Revision})
+	r.ApplyInstances(resp.Instances, resp.RemovedInstances, resp.Complete, resp.Revision) // first, as in the feed
+	r.ApplyEvent(directory.PeerUpdate{Complete: resp.Complete, Endpoints: resp.Endpoints, Removed: resp.Removed, Evacuations: resp.Evacuations, Revision: resp.Revision})
 	if resp.Revision == req.Revision {
 		return // the views differed at the same revision; their differences are logged one by one
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -71,7 +71,7 @@
 	Endpoints        []directory.Endpoint `cbor:"4,keyasint,omitempty"`
 	Removed          []directory.Removed  `cbor:"5,keyasint,omitempty"`
 	Instances        []roster.Instance    `cbor:"6,keyasint,omitempty"`
-	RemovedInstances []roster.Departure   `cbor:"7,keyasint,omitempty"`
+	RemovedInstances []roster.Removal     `cbor:"7,keyasint,omitempty"`
 	Revision         int64                `cbor:"8,keyasint"`
 	ReadStore        bool                 `cbor:"9,keyasint,omitempty"` // a newer configuration is not included
 	Digest           uint64               `cbor:"10,keyasint"`          // of the sender's view at Revision
@@ -98,24 +98,24 @@
 	Directory *directory.Directory
 	Zone      string
 	Capacity  float64 // of this instance's processor, in cores
-	// Tell applies an event to the directory.
-	Tell func(directory.Event)
-	// Instances applies what a peer knows of instances; whole says that the lists are
+	// ApplyEvent applies an event to the directory.
+	ApplyEvent func(directory.Event)
+	// ApplyInstances applies what a peer knows of instances; whole says that the lists are
 	// complete.
-	Instances func(seen []roster.Instance, left []roster.Departure, whole bool, revision int64)
-	// Roll reads the instances of the own zone from the store.
-	Roll func(context.Context) error
-	// Head reads the store's revision. List has the feed read everything, CatchUp the
+	ApplyInstances func(seen []roster.Instance, left []roster.Removal, whole bool, revision int64)
+	// ReadZone reads the instances of the own zone from the store.
+	ReadZone func(context.Context) error
+	// HeadRevision reads the store's revision. List has the feed read everything, CatchUp the
 	// changes, Configure only the configuration. CatchingUp reports whether the changes are
 	// still to be read.
-	Head       func(context.Context) (int64, error)
-	List       func()
-	CatchUp    func()
-	CatchingUp func() bool
-	Configure  func()
-	Log        *eventlog.Log
-	Scope      tally.Scope
-	Now        func() clock.Millis
+	HeadRevision func(context.Context) (int64, error)
+	List         func()
+	CatchUp      func()
+	CatchingUp   func() bool
+	Configure    func()
+	Log          *eventlog.Log
+	Scope        tally.Scope
+	Now          func() clock.Millis
 	// Fresh decides when to request something; the relay's lock guards it.
 	Fresh *freshness.Freshness
 	// Bound is the time within which a change must be in force.
@@ -174,7 +174,7 @@
 
 // Register adds the handlers of peers' requests and hints.
 func (r *Relay) Register(router *message.Router) {
-	peer.AnswerEncoded(router, r.Transport, topicRequest, func(_ context.Context, s peer.Sender, req Request) (peer.Encoded, error) {
+	peer.HandleCallEncoded(router, r.Transport, topicRequest, func(_ context.Context, s peer.Sender, req Request) (peer.Encoded, error) {
 		if r.Transport.Busy(s.Address) {
 			// The peer repeats its request before it has the last response; another one
 			// would only add load to its link.
@@ -197,7 +197,7 @@
 		return peer.Encoded{}, err
 	}
 	if req.Seeding {
-		r.Progressed(len(cached.response.Endpoints))
+		r.AddProgress(len(cached.response.Endpoints))
 		if !cached.response.More {
 			r.noteSeeded(from)
 		}
@@ -208,7 +208,7 @@
 // buildResponse returns what the requesting instance lacks of the view v and of any changes
 // since.
 func (r *Relay) buildResponse(v *directory.View, req Request) Response {
-	resp := Response{TableRevision: v.TableRev, Revision: v.Revision, Version: r.newestVersion(v)}
+	resp := Response{TableRevision: v.TableRevision, Revision: v.Revision, Version: r.newestVersion(v)}
 	switch {
 	case resp.Version <= req.Version:
 	case !req.Disconnected && r.configurationFromStore(v):
@@ -226,7 +226,7 @@
 	}
 	changes := r.Directory.Since(since, limit)
 	resp.More = changes.More
-	resp.Complete, resp.Endpoints, resp.Removed, resp.Evacuations = changes.Whole, changes.Endpoints, changes.Gone, changes.Evacuations
+	resp.Complete, resp.Endpoints, resp.Removed, resp.Evacuations = changes.Complete, changes.Endpoints, changes.Removed, changes.Evacuations
 	resp.Revision, resp.Digest = changes.Revision, changes.Digest
 	if !req.Seeding || since == 0 {
 		resp.Instances, resp.RemovedInstances = r.Roster.Since(since)
@@ -309,7 +309,7 @@
 
 // checkStore reads the store's revision and announces it to the zone.
 func (r *Relay) checkStore(ctx context.Context) {
-	revision, err := r.Head(ctx)
+	revision, err := r.HeadRevision(ctx)
 	r.mu.Lock()
 	if err != nil {
 		r.Fresh.CheckFailed(r.Now())
--- a/internal/relay/seed.go
+++ b/internal/relay/seed.go
@@ -47,9 +47,9 @@
 	}
 	zoneRead := false // the zone was read after the instances that started together had registered
 	for first := true; ctx.Err() == nil && r.Now().Sub(s.advancedAt) < r.Bound; first = false {
-		peersKnown := r.Now().Sub(start) >= roster.JoinTime || r.Now().Sub(r.startedAt) > 2*roster.JoinTime
+		peersKnown := r.Now().Sub(start) >= roster.JoinDelay || r.Now().Sub(r.startedAt) > 2*roster.JoinDelay
 		if first || peersKnown && !zoneRead {
-			if err := r.Roll(ctx); err != nil {
+			if err := r.ReadZone(ctx); err != nil {
 				return false
 			}
 			zoneRead = peersKnown
@@ -124,13 +124,13 @@
 func (s *seedRun) requestPage(ctx context.Context, from roster.Instance, req Request) (Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, seedTimeout)
 	defer cancel()
-	return peer.Ask[Request, Response](ctx, s.Transport, from.Address, topicRequest, req)
+	return peer.Call[Request, Response](ctx, s.Transport, from.Address, topicRequest, req)
 }
 
 // applyPage applies one page and records which entries it has.
 func (s *seedRun) applyPage(from roster.Instance, resp Response) {
 	s.applyTable(from, resp)
-	s.Instances(resp.Instances, resp.RemovedInstances, false, resp.Revision)
+	s.ApplyInstances(resp.Instances, resp.RemovedInstances, false, resp.Revision)
 	for _, e := range resp.Endpoints {
 		s.present[e.Entry] = true
 	}
@@ -141,29 +141,29 @@
 		s.evacuations[z.Zone] = z
 	}
 	s.revision = resp.Revision
-	s.Tell(directory.Relayed{Endpoints: resp.Endpoints, Gone: resp.Removed, Evacuations: resp.Evacuations, Revision: resp.Revision})
+	s.ApplyEvent(directory.PeerUpdate{Endpoints: resp.Endpoints, Removed: resp.Removed, Evacuations: resp.Evacuations, Revision: resp.Revision})
 }
 
 // finish removes endpoints that came from an older listing and that no page has.
 func (s *seedRun) finish(from roster.Instance) {
 	listing := directory.Listed{Revision: s.revision}
 	for entry := range s.present {
-		listing.Present = append(listing.Present, entry)
+		listing.PresentEntries = append(listing.PresentEntries, entry)
 	}
 	for _, z := range s.evacuations {
 		if !z.Over {
 			listing.Evacuations = append(listing.Evacuations, z)
 		}
 	}
-	s.Tell(listing)
+	s.ApplyEvent(listing)
 	s.Log.Write(eventlog.Line{
-		Event: eventlog.PeerTold, Outcome: "seeded", Address: from.Address.String(), Count: int64(len(listing.Present)), Revision: s.revision,
+		Event: eventlog.PeerTold, Outcome: "seeded", Address: from.Address.String(), Count: int64(len(listing.PresentEntries)), Revision: s.revision,
 	})
 }
 
-// Progressed counts entries that were read from the store or sent to an instance that is
+// AddProgress counts entries that were read from the store or sent to an instance that is
 // seeding. While the count grows, instances that wait for this one keep waiting.
-func (r *Relay) Progressed(entries int) { r.progress.Add(int64(entries)) }
+func (r *Relay) AddProgress(entries int) { r.progress.Add(int64(entries)) }
 
 // noteSeeded records that an instance has received all endpoints.
 func (r *Relay) noteSeeded(name string) {
@@ -183,7 +183,7 @@
 // is certain, and not too many instances are seeding.
 func (r *Relay) canSeed(name string) bool {
 	v := r.Directory.View()
-	if r.seeding.Load() || v.Revision == 0 || v.Doubtful {
+	if r.seeding.Load() || v.Revision == 0 || v.Uncertain {
 		return false
 	}
 	now := r.Now()
--- a/internal/roster/order.go
+++ b/internal/roster/order.go
@@ -36,7 +36,7 @@
 	}
 	o := &orderings{all: make([]Instance, 0, len(r.instances)), rankings: map[role]ranking{}}
 	for _, i := range r.instances {
-		joined := r.identities[i.Fingerprint].firstSeen.Add(JoinTime)
+		joined := r.identities[i.Fingerprint].firstSeen.Add(JoinDelay)
 		if i.Joining = now < joined; i.Joining && (o.validUntil == 0 || joined < o.validUntil) {
 			o.validUntil = joined
 		}
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -26,17 +26,17 @@
 	Joining     bool           `cbor:"-" json:"-"`          // first seen less than JoinTime ago: it takes no role yet
 }
 
-// Departure says that an instance's entry was removed at a revision. The entry may exist
+// Removal says that an instance's entry was removed at a revision. The entry may exist
 // again at a later revision, even in the same response.
-type Departure struct {
+type Removal struct {
 	Name     string `cbor:"1,keyasint"`
 	Revision int64  `cbor:"2,keyasint"` // of the store
 }
 
-// JoinTime is how long after it was first seen an instance takes no role: by then the
+// JoinDelay is how long after it was first seen an instance takes no role: by then the
 // instances that hold places have reported them to it. Each peer measures the time for
 // itself, since a second entry would wake all watchers.
-const JoinTime = 1200 * time.Millisecond
+const JoinDelay = 1200 * time.Millisecond
 
 // readiness orders instances by whether they should take a role.
 func (i Instance) readiness() int {
@@ -72,8 +72,8 @@
 	return &Roster{now: now, instances: map[string]Instance{}, identities: map[string]identity{}, removedAt: map[string]int64{}}
 }
 
-// See applies an instance's entry and reports whether it changed anything.
-func (r *Roster) See(i Instance) bool {
+// Update applies an instance's entry and reports whether it changed anything.
+func (r *Roster) Update(i Instance) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	before, known := r.instances[i.Name]
@@ -96,7 +96,7 @@
 
 // Remove applies the removal of an instance's entry and reports whether it changed
 // anything. The certificate stays trusted: the instance may only have lost its lease.
-func (r *Roster) Remove(d Departure) bool {
+func (r *Roster) Remove(d Removal) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	i, ok := r.instances[d.Name]
@@ -110,7 +110,7 @@
 }
 
 // Since returns the instances that were seen or removed after a revision.
-func (r *Roster) Since(revision int64) (seen []Instance, gone []Departure) {
+func (r *Roster) Since(revision int64) (seen []Instance, gone []Removal) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, i := range r.instances {
@@ -120,7 +120,7 @@
 	}
 	for name, at := range r.removedAt {
 		if at > revision {
-			gone = append(gone, Departure{Name: name, Revision: at})
+			gone = append(gone, Removal{Name: name, Revision: at})
 		}
 	}
 	return seen, gone
@@ -128,15 +128,15 @@
 
 // Missing returns a removal for each known instance that is not in a complete listing at a
 // revision.
-func (r *Roster) Missing(all []Instance, revision int64) []Departure {
+func (r *Roster) Missing(all []Instance, revision int64) []Removal {
 	present := map[string]bool{}
 	for _, i := range all {
 		present[i.Name] = true
 	}
-	var missing []Departure
+	var missing []Removal
 	for _, i := range r.All() {
 		if !present[i.Name] {
-			missing = append(missing, Departure{Name: i.Name, Revision: revision})
+			missing = append(missing, Removal{Name: i.Name, Revision: revision})
 		}
 	}
 	return missing
@@ -184,9 +184,9 @@
 	return r.orderings().zones
 }
 
-// FirstOfOthers returns the first n instances, in the order for a role, of each zone but
+// FirstOfOtherZones returns the first n instances, in the order for a role, of each zone but
 // the given one.
-func (r *Roster) FirstOfOthers(zone, key string, n int) []Instance {
+func (r *Roster) FirstOfOtherZones(zone, key string, n int) []Instance {
 	var list []Instance
 	for _, z := range r.Zones() {
 		if z != zone {
@@ -197,8 +197,8 @@
 	return list
 }
 
-// Most returns the largest number of instances known at one time.
-func (r *Roster) Most() int {
+// MaxSize returns the largest number of instances known at one time.
+func (r *Roster) MaxSize() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.maxSize
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -25,9 +25,9 @@
 	now := clock.Millis(0)
 	r := roster.New(func() clock.Millis { return now })
 	for i := range 5 {
-		r.See(instance(fmt.Sprint("n", i), 1))
+		r.Update(instance(fmt.Sprint("n", i), 1))
 	}
-	now = now.Add(roster.JoinTime)
+	now = now.Add(roster.JoinDelay)
 	first := r.Ranked("a", "planner")[0]
 	tests := []struct {
 		name   string
@@ -44,7 +44,7 @@
 			changed := first
 			test.change(&changed)
 			changed.Revision = int64(n + 2)
-			r.See(changed)
+			r.Update(changed)
 			ranked := r.Ranked("a", "planner")
 			c.Assert(ranked[0].Name != first.Name, qt.Equals, test.moves)
 			c.Assert(ranked, qt.HasLen, 5)
@@ -59,16 +59,16 @@
 	c := qt.New(t)
 	now := clock.Millis(5000)
 	r := roster.New(func() clock.Millis { return now })
-	r.See(instance("n1", 1))
+	r.Update(instance("n1", 1))
 	c.Assert(r.All()[0].Joining, qt.IsTrue)
-	now = now.Add(roster.JoinTime)
+	now = now.Add(roster.JoinDelay)
 	c.Assert(r.All()[0].Joining, qt.IsFalse)
-	r.Remove(roster.Departure{Name: "n1", Revision: 2})
-	r.See(instance("n1", 3))
+	r.Remove(roster.Removal{Name: "n1", Revision: 2})
+	r.Update(instance("n1", 3))
 	c.Assert(r.All()[0].Joining, qt.IsFalse)
 	again := instance("n1", 4)
 	again.Fingerprint = "anew"
-	r.See(again)
+	r.Update(again)
 	c.Assert(r.All()[0].Joining, qt.IsTrue)
 }
 
@@ -82,7 +82,7 @@
 		if i%4 == 0 {
 			capacity = 0.8
 		}
-		r.See(roster.Instance{Name: fmt.Sprint("n", i), Zone: "a", Capacity: capacity, Fingerprint: fmt.Sprint(i), Leaving: i == 0, Revision: 1})
+		r.Update(roster.Instance{Name: fmt.Sprint("n", i), Zone: "a", Capacity: capacity, Fingerprint: fmt.Sprint(i), Leaving: i == 0, Revision: 1})
 	}
 	for _, key := range []string{"planner", "check"} {
 		ranked := r.Ranked("a", key)
@@ -97,18 +97,18 @@
 func TestOldEntriesChangeNothing(t *testing.T) {
 	c := qt.New(t)
 	r := roster.New(zeroTime)
-	c.Assert(r.See(instance("n1", 5)), qt.IsTrue)
-	c.Assert(r.See(instance("n1", 5)), qt.IsFalse)
-	c.Assert(r.See(instance("n1", 4)), qt.IsFalse)
-	c.Assert(r.Remove(roster.Departure{Name: "n1", Revision: 4}), qt.IsFalse)
-	c.Assert(r.Missing(nil, 9), qt.DeepEquals, []roster.Departure{{Name: "n1", Revision: 9}})
-	c.Assert(r.Remove(roster.Departure{Name: "n1", Revision: 6}), qt.IsTrue)
+	c.Assert(r.Update(instance("n1", 5)), qt.IsTrue)
+	c.Assert(r.Update(instance("n1", 5)), qt.IsFalse)
+	c.Assert(r.Update(instance("n1", 4)), qt.IsFalse)
+	c.Assert(r.Remove(roster.Removal{Name: "n1", Revision: 4}), qt.IsFalse)
+	c.Assert(r.Missing(nil, 9), qt.DeepEquals, []roster.Removal{{Name: "n1", Revision: 9}})
+	c.Assert(r.Remove(roster.Removal{Name: "n1", Revision: 6}), qt.IsTrue)
 	c.Assert(r.All(), qt.HasLen, 0)
 	// The instance may only have lost its lease, so its certificate is still trusted.
 	name, ok := r.Trusted("f-n1")
 	c.Assert(name, qt.Equals, "n1")
 	c.Assert(ok, qt.IsTrue)
-	c.Assert(r.Most(), qt.Equals, 1)
+	c.Assert(r.MaxSize(), qt.Equals, 1)
 }
 
 // Peers that do not watch the store learn of a restart, which brings a new certificate,
@@ -130,11 +130,11 @@
 func TestOldEntryDoesNotRestoreInstance(t *testing.T) {
 	c := qt.New(t)
 	r := roster.New(zeroTime)
-	r.See(instance("n1", 5))
-	r.Remove(roster.Departure{Name: "n1", Revision: 8})
-	c.Assert(r.See(instance("n1", 5)), qt.IsFalse)
+	r.Update(instance("n1", 5))
+	r.Remove(roster.Removal{Name: "n1", Revision: 8})
+	c.Assert(r.Update(instance("n1", 5)), qt.IsFalse)
 	c.Assert(r.All(), qt.HasLen, 0)
-	c.Assert(r.See(instance("n1", 9)), qt.IsTrue) // it exists again
+	c.Assert(r.Update(instance("n1", 9)), qt.IsTrue) // it exists again
 	c.Assert(r.All(), qt.HasLen, 1)
 }
 
@@ -146,11 +146,11 @@
 	for n, zone := range []string{"a", "b", "b", "b", "c"} {
 		i := instance(fmt.Sprint("n", n), int64(n+1))
 		i.Zone = zone
-		r.See(i)
+		r.Update(i)
 	}
 	c.Assert(r.Zones(), qt.DeepEquals, []string{"a", "b", "c"})
 	c.Assert(r.Size(), qt.Equals, 5)
-	got := r.FirstOfOthers("a", "planner", 2)
+	got := r.FirstOfOtherZones("a", "planner", 2)
 	c.Assert(got, qt.HasLen, 3)
 	for n, want := range append(r.Ranked("b", "planner")[:2], r.Ranked("c", "planner")...) {
 		c.Assert(got[n], qt.Equals, want)
@@ -165,9 +165,9 @@
 	r := roster.New(func() clock.Millis { return now })
 	const instances = 1000
 	for n := range instances {
-		r.See(instance(fmt.Sprintf("n%04d", n), int64(n+1)))
+		r.Update(instance(fmt.Sprintf("n%04d", n), int64(n+1)))
 	}
-	now = now.Add(roster.JoinTime)
+	now = now.Add(roster.JoinDelay)
 	query := func() {
 		r.Find("n0500")
 		r.Rank("a", "planner", "n0500")
@@ -178,7 +178,7 @@
 	query()
 	c.Assert(testing.AllocsPerRun(100, query), qt.Equals, 0.0)
 	first := r.Ranked("a", "planner")[0]
-	c.Assert(r.Remove(roster.Departure{Name: first.Name, Revision: instances}), qt.IsTrue)
+	c.Assert(r.Remove(roster.Removal{Name: first.Name, Revision: instances}), qt.IsTrue)
 	c.Assert(r.Ranked("a", "planner"), qt.HasLen, instances-1)
 	c.Assert(r.Ranked("a", "planner")[0], qt.Not(qt.Equals), first)
 	c.Assert(r.All(), qt.HasLen, instances-1)
@@ -188,14 +188,14 @@
 	c := qt.New(t)
 	r := roster.New(zeroTime)
 	for n, name := range []string{"n2", "n1", "n3"} {
-		r.See(instance(name, int64(n+1)))
+		r.Update(instance(name, int64(n+1)))
 	}
 	for _, name := range []string{"n1", "n2", "n3"} {
 		i, known := r.Find(name)
 		c.Check(known, qt.IsTrue)
 		c.Check(i.Fingerprint, qt.Equals, "f-"+name)
 	}
-	c.Assert(r.Remove(roster.Departure{Name: "n2", Revision: 9}), qt.IsTrue)
+	c.Assert(r.Remove(roster.Removal{Name: "n2", Revision: 9}), qt.IsTrue)
 	for _, name := range []string{"n2", "n4", ""} {
 		_, known := r.Find(name)
 		c.Check(known, qt.IsFalse)
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -87,8 +87,8 @@
 // is too short, engines are assigned work that they must reject.
 const defaultSwitchTime = 6 * time.Second
 
-// Switch returns the duration of a change of stage.
-func (e *Engine) Switch() time.Duration {
+// StageChangeTime returns the duration of a change of stage.
+func (e *Engine) StageChangeTime() time.Duration {
 	if e.SwitchTime > 0 {
 		return e.SwitchTime
 	}
--- a/internal/route/workspace.go
+++ b/internal/route/workspace.go
@@ -34,8 +34,8 @@
 	Plain  float64 // tokens counted for a request that does not state its own
 }
 
-// Bound reports whether there is a limit.
-func (l Limit) Bound() bool { return l.Rate > 0 }
+// Limited reports whether there is a limit.
+func (l Limit) Limited() bool { return l.Rate > 0 }
 
 // Cost returns the number of units that a request counts. known says whether its number of
 // tokens is known.
@@ -92,8 +92,8 @@
 // Workspace returns the workspace that a key belongs to, or nil.
 func (t *Table) Workspace(k Key) *Workspace { return t.workspaces[k] }
 
-// Keyed reports whether requests need a key, except on open routes.
-func (t *Table) Keyed() bool { return t.document.Keyed }
+// RequiresKey reports whether requests need a key, except on open routes.
+func (t *Table) RequiresKey() bool { return t.document.Keyed }
 
 // Workspaces returns all workspaces, which must not be modified.
 func (t *Table) Workspaces() []Workspace { return t.document.Workspaces }
--- a/internal/soak/caller/caller.go
+++ b/internal/soak/caller/caller.go
@@ -18,15 +18,15 @@
 
 // Kind is a kind of request.
 type Kind struct {
-	Path      string
-	Method    string
-	Service   string
-	Once      bool // must run at most once
-	Stream    bool
-	Version   int    // of the configuration that added its route; 0 for the first one
-	Body      string // of all requests; if empty, each has its own
-	Workspace string // whose key is sent
-	Home      string // the only zone whose endpoints may receive it; empty for all
+	Path       string
+	Method     string
+	Service    string
+	AtMostOnce bool // must run at most once
+	Stream     bool
+	Version    int    // of the configuration that added its route; 0 for the first one
+	Body       string // of all requests; if empty, each has its own
+	Workspace  string // whose key is sent
+	HomeZone   string // the only zone whose endpoints may receive it; empty for all
 }
 
 // Workspaces of the soak. Limited sends more requests than its limit allows.
@@ -58,57 +58,57 @@
 func Kinds() []Kind {
 	return []Kind{
 		{Path: "/stream/x", Method: http.MethodPost, Service: "llm", Stream: true, Workspace: firstWorkspace},
-		{Path: "/once" + standin.LongPath, Method: http.MethodPost, Service: "llm", Stream: true, Once: true, Workspace: firstWorkspace},
-		{Path: "/once/x", Method: http.MethodPost, Service: "llm", Stream: true, Once: true, Workspace: secondWorkspace},
+		{Path: "/once" + standin.LongPath, Method: http.MethodPost, Service: "llm", Stream: true, AtMostOnce: true, Workspace: firstWorkspace},
+		{Path: "/once/x", Method: http.MethodPost, Service: "llm", Stream: true, AtMostOnce: true, Workspace: secondWorkspace},
 		{Path: "/safe/x", Method: http.MethodGet, Service: "web", Workspace: secondWorkspace},
-		{Path: "/unsafe/x", Method: http.MethodPost, Service: "web", Once: true, Workspace: firstWorkspace},
-		{Path: "/unsafe/y", Method: http.MethodPost, Service: "web", Once: true, Workspace: Limited},
+		{Path: "/unsafe/x", Method: http.MethodPost, Service: "web", AtMostOnce: true, Workspace: firstWorkspace},
+		{Path: "/unsafe/y", Method: http.MethodPost, Service: "web", AtMostOnce: true, Workspace: Limited},
 	}
 }
 
-// Added returns the kind for the route that a configuration version adds.
-func Added(version int) Kind {
+// AddedKind returns the kind for the route that a configuration version adds.
+func AddedKind(version int) Kind {
 	return Kind{Path: "/v" + strconv.Itoa(version) + "/x", Method: http.MethodGet, Service: "web", Version: version, Workspace: firstWorkspace}
 }
 
-// Home returns the kind that only the region of a zone may serve.
-func Home(zone string) Kind {
-	return Kind{Path: "/home/x", Method: http.MethodGet, Service: "web", Workspace: firstWorkspace, Home: zone}
+// HomeKind returns the kind that only the region of a zone may serve.
+func HomeKind(zone string) Kind {
+	return Kind{Path: "/home/x", Method: http.MethodGet, Service: "web", Workspace: firstWorkspace, HomeZone: zone}
 }
 
-// PoisonMark is in the bodies of requests that crash the engines that run them.
-const PoisonMark = "poison"
+// PoisonMarker is in the bodies of requests that crash the engines that run them.
+const PoisonMarker = "poison"
 
-// Poison returns the kind for the n-th poisoned request of a run. All calls of it have the
+// PoisonKind returns the kind for the n-th poisoned request of a run. All calls of it have the
 // same body.
-func Poison(n int) Kind {
+func PoisonKind(n int) Kind {
 	k := Kinds()[0]
 	for _, kind := range Kinds() {
 		if kind.Path == "/stream/x" {
 			k = kind
 		}
 	}
-	k.Body = PoisonMark + " " + strconv.Itoa(n)
+	k.Body = PoisonMarker + " " + strconv.Itoa(n)
 	return k
 }
 
 // Gateway is an instance that accepts requests.
 type Gateway struct {
-	Name string
-	Life int // number of starts of its process when the request was sent
-	At   netip.AddrPort
+	Name        string
+	Incarnation int // number of starts of its process when the request was sent
+	Address     netip.AddrPort
 }
 
 // Call is one request and its reply, as the caller observed them.
 type Call struct {
-	ID      string
-	Kind    Kind
-	Gateway Gateway
-	Body    string
-	Sent    time.Time
-	Ended   time.Time
-	Left    bool // the caller disconnected before the answer was complete
-	Reply   standin.Reply
+	ID           string
+	Kind         Kind
+	Gateway      Gateway
+	Body         string
+	Sent         time.Time
+	Ended        time.Time
+	Disconnected bool // the caller disconnected before the answer was complete
+	Reply        standin.Response
 }
 
 const (
@@ -126,10 +126,10 @@
 
 // Caller sends requests one after another. It must not be used concurrently.
 type Caller struct {
-	Pick func() (Gateway, bool) // returns an instance in the balancer's rotation; false if none is
-	Kind func() Kind
-	Done func(Call)
-	Next func() string // returns a new request ID
+	PickGateway func() (Gateway, bool) // returns an instance in the balancer's rotation; false if none is
+	NextKind    func() Kind
+	Done        func(Call)
+	NextID      func() string // returns a new request ID
 
 	client *http.Client
 }
@@ -142,8 +142,8 @@
 	}}
 	defer c.client.CloseIdleConnections()
 	for ctx.Err() == nil {
-		if g, ok := c.Pick(); ok {
-			c.Done(c.Call(ctx, g, c.Kind()))
+		if g, ok := c.PickGateway(); ok {
+			c.Done(c.Call(ctx, g, c.NextKind()))
 		}
 		select {
 		case <-ctx.Done():
@@ -154,7 +154,7 @@
 
 // Call sends one request and waits for its end.
 func (c *Caller) Call(ctx context.Context, g Gateway, k Kind) Call {
-	call := Call{ID: c.Next(), Kind: k, Gateway: g, Sent: time.Now()}
+	call := Call{ID: c.NextID(), Kind: k, Gateway: g, Sent: time.Now()}
 	switch {
 	case k.Body != "":
 		call.Body = k.Body
@@ -166,29 +166,29 @@
 	var once sync.Once
 	if rand.Float64() < disconnectRatio {
 		delay := time.Duration(rand.Float64() * float64(maxDisconnectDelay))
-		timer := time.AfterFunc(delay, func() { once.Do(func() { call.Left = true }); cancel() })
+		timer := time.AfterFunc(delay, func() { once.Do(func() { call.Disconnected = true }); cancel() })
 		defer timer.Stop()
 	}
-	request := standin.Ask{ID: call.ID, To: g.At, Method: k.Method, Path: k.Path, Body: call.Body, Wait: requestTimeout, Key: key(k.Workspace)}
+	request := standin.Request{ID: call.ID, Address: g.Address, Method: k.Method, Path: k.Path, Body: call.Body, Deadline: requestTimeout, Key: key(k.Workspace)}
 	reply := request.Send(ctx, c.client)
 	once.Do(func() {}) // a disconnect after the answer does not count
 	call.Reply, call.Ended = reply, time.Now()
 	if reply.Err == nil {
-		call.Left = false
+		call.Disconnected = false
 	}
 	return call
 }
 
-// One sends a single request on its own connection. Like any call, it may be abandoned.
-func One(ctx context.Context, g Gateway, k Kind, id string) Call {
+// SendOne sends a single request on its own connection. Like any call, it may be abandoned.
+func SendOne(ctx context.Context, g Gateway, k Kind, id string) Call {
 	transport := &http.Transport{DisableKeepAlives: true, DisableCompression: true}
 	defer transport.CloseIdleConnections()
-	c := &Caller{Next: func() string { return id }, client: &http.Client{Transport: transport}}
+	c := &Caller{NextID: func() string { return id }, client: &http.Client{Transport: transport}}
 	return c.Call(ctx, g, k)
 }
 
-// Hung reports whether the caller gave up because no complete answer came within
+// TimedOut reports whether the caller gave up because no complete answer came within
 // requestTimeout and gracePeriod.
-func (c Call) Hung() bool {
+func (c Call) TimedOut() bool {
 	return c.Reply.Err != nil && c.Ended.Sub(c.Sent) >= requestTimeout+gracePeriod
 }
--- a/internal/soak/checker/checker.go
+++ b/internal/soak/checker/checker.go
@@ -32,15 +32,15 @@
 
 // Bounds are the limits on times and amounts that the promises state.
 type Bounds struct {
-	Contact time.Duration // without faults before a time bound applies
-	Drain   time.Duration // from a change of an endpoint or a zone until all instances act on it
-	Config  time.Duration // from a configuration's acknowledgement until it is in force
-	Outer   time.Duration // added while the store fails some instances, which then learn of changes from peers
-	Gone    time.Duration // from a caller's disconnect to the end of the work for it
-	Slack   time.Duration // added to all time bounds, for a busy machine
-	Ratio   float64       // retries allowed per request
-	Extra   float64       // retries allowed in addition, per window
-	Window  time.Duration // over which retries are counted
+	CalmTime    time.Duration // without faults before a time bound applies
+	ChangeDelay time.Duration // from a change of an endpoint or a zone until all instances act on it
+	ConfigDelay time.Duration // from a configuration's acknowledgement until it is in force
+	PeerDelay   time.Duration // added while the store fails some instances, which then learn of changes from peers
+	CancelDelay time.Duration // from a caller's disconnect to the end of the work for it
+	Slack       time.Duration // added to all time bounds, for a busy machine
+	RetryRatio  float64       // retries allowed per request
+	RetrySlack  float64       // retries allowed in addition, per window
+	RetryWindow time.Duration // over which retries are counted
 	// The limit of one workspace over all instances, in requests that ran.
 	LimitRate, LimitBurst, LimitSlack float64
 	LimitWindow                       time.Duration
@@ -90,42 +90,42 @@
 	}
 }
 
-// Called records a call that has ended.
-func (c *Checker) Called(call caller.Call) {
+// RecordCall records a call that has ended.
+func (c *Checker) RecordCall(call caller.Call) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.calls[call.ID] = call
 }
 
-// Leaves records that the store has acknowledged an endpoint's announcement that it is
+// EndpointLeaving records that the store has acknowledged an endpoint's announcement that it is
 // leaving.
-func (c *Checker) Leaves(endpoint string) {
+func (c *Checker) EndpointLeaving(endpoint string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.leaving[endpoint] = time.Now()
 }
 
-// Configured records that the store has acknowledged a configuration.
-func (c *Checker) Configured(version int) {
+// ConfigurationStored records that the store has acknowledged a configuration.
+func (c *Checker) ConfigurationStored(version int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.versions[version] = time.Now()
 }
 
-// Ended records that a process exited without a signal to do so, or failed after SIGTERM.
-func (c *Checker) Ended(instance string, number int, cause error) {
+// ProcessExited records that a process exited without a signal to do so, or failed after SIGTERM.
+func (c *Checker) ProcessExited(instance string, number int, cause error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.violated("lives on", fmt.Sprintf("%s incarnation %d", instance, number), time.Now(), "process exited unexpectedly: %v", cause)
 }
 
-// Outlived records that a process still runs long after SIGTERM. That is no violation if
+// StopOverdue records that a process still runs long after SIGTERM. That is no violation if
 // a fault, such as a pause, affected the process in the meantime.
-func (c *Checker) Outlived(instance string, number int, signalled time.Time) {
+func (c *Checker) StopOverdue(instance string, number int, signalled time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	if !c.Bounds.Timed || !c.Faults.Calm(signalled, now, instance, timeline.Process) {
+	if !c.Bounds.Timed || !c.Faults.Undisturbed(signalled, now, instance, timeline.Process) {
 		return
 	}
 	c.violated("planned stop", fmt.Sprintf("%s incarnation %d", instance, number), now, "process still running %s after SIGTERM", now.Sub(signalled).Round(time.Millisecond))
@@ -195,7 +195,7 @@
 // checkCall checks one call and what endpoints received of it.
 func (c *Checker) checkCall(call caller.Call, runs []Run) {
 	c.checkRuns(call, runs)
-	if !call.Left {
+	if !call.Disconnected {
 		c.checkReply(call)
 	}
 	if !c.Bounds.Timed {
@@ -205,12 +205,12 @@
 	for _, r := range runs {
 		c.checkLeaving(call, r)
 		c.checkEvacuated(call, r)
-		if call.Left {
+		if call.Disconnected {
 			c.checkAbandoned(call, r)
 		}
 	}
 	// Whatever endpoints do, an instance must answer once the request's deadline has passed.
-	if call.Hung() && c.Faults.Calm(call.Sent, call.Ended, call.Gateway.Name, timeline.Process, timeline.Planned) {
+	if call.TimedOut() && c.Faults.Undisturbed(call.Sent, call.Ended, call.Gateway.Name, timeline.Process, timeline.Planned) {
 		c.violated("answered", call.ID, call.Ended, "no answer from %s long after the deadline", call.Gateway.Name)
 	}
 }
@@ -222,20 +222,20 @@
 		if r.Method != call.Kind.Method || r.Target != call.Kind.Path || r.Body != call.Body {
 			c.violated("unchanged", call.ID, r.At, "%s received %s %s with a body of %d bytes", r.Endpoint, r.Method, r.Target, len(r.Body))
 		}
-		if r.Workspace != call.Kind.Workspace || r.Key {
-			c.violated("own workspace", call.ID, r.At, "%s received it for workspace %q, with a key: %t", r.Endpoint, r.Workspace, r.Key)
+		if r.Workspace != call.Kind.Workspace || r.HasKey {
+			c.violated("own workspace", call.ID, r.At, "%s received it for workspace %q, with a key: %t", r.Endpoint, r.Workspace, r.HasKey)
 		}
 		if r.Service != call.Kind.Service && r.Ran {
 			c.violated("own service", call.ID, r.At, "ran at %s of service %s", r.Endpoint, r.Service)
 		}
-		if home := call.Kind.Home; home != "" && r.Zone != home && r.Service == call.Kind.Service {
+		if home := call.Kind.HomeZone; home != "" && r.Zone != home && r.Service == call.Kind.Service {
 			c.violated("home region", call.ID, r.At, "%s in zone %s received it", r.Endpoint, r.Zone)
 		}
 		if r.Ran && !r.Prefill {
 			ran++
 		}
 	}
-	if !call.Kind.Once {
+	if !call.Kind.AtMostOnce {
 		return
 	}
 	if ran > 1 {
@@ -279,9 +279,9 @@
 	r := call.Reply
 	switch {
 	case r.Status == 200:
-		want := standin.Whole(call.ID)
+		want := standin.AnswerBody(call.ID)
 		if call.Kind.Stream {
-			want = standin.Stream(call.ID, standin.Events)
+			want = standin.StreamBody(call.ID, standin.Events)
 		}
 		switch {
 		case !r.Signed:
@@ -298,15 +298,15 @@
 
 // callUndisturbed reports whether no fault affected a call's instance or any endpoint.
 func (c *Checker) callUndisturbed(call caller.Call, from, to time.Time) bool {
-	return c.Faults.Calm(from, to, call.Gateway.Name, timeline.Process) &&
-		c.Faults.Calm(from, to, "", timeline.Endpoint)
+	return c.Faults.Undisturbed(from, to, call.Gateway.Name, timeline.Process) &&
+		c.Faults.Undisturbed(from, to, "", timeline.Endpoint)
 }
 
 // checkPlannedStop checks for an answer that was interrupted during a planned stop of its
 // instance, with no other fault that explains it.
 func (c *Checker) checkPlannedStop(call caller.Call, runs []Run) {
-	interrupted := call.Reply.Err != nil && !call.Left && !call.Hung() && (len(runs) > 0 || call.Reply.Status != 0)
-	if !interrupted || !c.callUndisturbed(call, call.Sent, call.Ended) || c.Faults.Calm(call.Sent, call.Ended, call.Gateway.Name, timeline.Planned) {
+	interrupted := call.Reply.Err != nil && !call.Disconnected && !call.TimedOut() && (len(runs) > 0 || call.Reply.Status != 0)
+	if !interrupted || !c.callUndisturbed(call, call.Sent, call.Ended) || c.Faults.Undisturbed(call.Sent, call.Ended, call.Gateway.Name, timeline.Planned) {
 		return
 	}
 	c.violated("planned stop", call.ID, call.Ended, "%s interrupted it: %v", call.Gateway.Name, call.Reply.Err)
@@ -326,20 +326,20 @@
 // store failed some instances, the change may have had to come from peers, which extends
 // bound.
 func (c *Checker) canKnow(call caller.Call, changed, now time.Time, bound *time.Duration) bool {
-	from := changed.Add(-c.Bounds.Contact)
-	if !c.Faults.Calm(from, now, call.Gateway.Name, timeline.Process, timeline.Planned, timeline.Peers) ||
-		!c.Faults.Calm(from, now, "", timeline.Store) {
+	from := changed.Add(-c.Bounds.CalmTime)
+	if !c.Faults.Undisturbed(from, now, call.Gateway.Name, timeline.Process, timeline.Planned, timeline.Peers) ||
+		!c.Faults.Undisturbed(from, now, "", timeline.Store) {
 		return false
 	}
-	if !c.Faults.Calm(from, now, "", timeline.Door) {
-		*bound += c.Bounds.Outer
+	if !c.Faults.Undisturbed(from, now, "", timeline.InstanceStore) {
+		*bound += c.Bounds.PeerDelay
 	}
 	return true
 }
 
 // checkAbandoned checks for work that continued after its caller had disconnected.
 func (c *Checker) checkAbandoned(call caller.Call, r Run) {
-	deadline := call.Ended.Add(c.Bounds.Gone + c.Bounds.Slack)
+	deadline := call.Ended.Add(c.Bounds.CancelDelay + c.Bounds.Slack)
 	ended := r.Ended
 	if ended.IsZero() {
 		ended = time.Now()
@@ -351,9 +351,9 @@
 
 // runUndisturbed reports whether no fault affected the instance or the endpoint of a run.
 func (c *Checker) runUndisturbed(call caller.Call, r Run, to time.Time) bool {
-	from := call.Sent.Add(-c.Bounds.Contact)
-	return c.Faults.Calm(from, to, call.Gateway.Name, timeline.Process, timeline.Planned) &&
-		c.Faults.Calm(from, to, r.Endpoint, timeline.Endpoint)
+	from := call.Sent.Add(-c.Bounds.CalmTime)
+	return c.Faults.Undisturbed(from, to, call.Gateway.Name, timeline.Process, timeline.Planned) &&
+		c.Faults.Undisturbed(from, to, r.Endpoint, timeline.Endpoint)
 }
 
 // incarnation is one process of an instance, from its start to its exit.
@@ -363,7 +363,7 @@
 }
 
 func incarnationOf(call caller.Call) incarnation {
-	return incarnation{call.Gateway.Name, call.Gateway.Life}
+	return incarnation{call.Gateway.Name, call.Gateway.Incarnation}
 }
 
 // checkVersions checks that no process of an instance returns to an earlier configuration.
@@ -397,7 +397,7 @@
 // checkInForce checks whether an instance that did not know a version should have.
 func (c *Checker) checkInForce(call caller.Call) {
 	acknowledged, ok := c.versions[call.Kind.Version]
-	bound := c.Bounds.Config + c.Bounds.Slack
+	bound := c.Bounds.ConfigDelay + c.Bounds.Slack
 	if !ok || !c.Bounds.Timed || !c.canKnow(call, acknowledged, call.Ended, &bound) {
 		return
 	}
@@ -427,7 +427,7 @@
 		_, known := c.calls[r.Request]
 		switch {
 		case !known:
-		case r.Prefill && r.Read && !read[r.Request]:
+		case r.Prefill && r.PrefillStarted && !read[r.Request]:
 			read[r.Request] = true // the first prefill that accepts the prompt is no retry
 		case first[r.Request]: // a rejected prefill counts as a send
 			retries[r.Service] = append(retries[r.Service], r)
@@ -437,17 +437,17 @@
 	}
 	for service, list := range retries {
 		for i, newest := range list {
-			from := newest.At.Add(-c.Bounds.Window)
+			from := newest.At.Add(-c.Bounds.RetryWindow)
 			var counted []string
 			for _, r := range list[:i+1] {
 				if r.At.After(from) {
 					counted = append(counted, r.Request+" at "+r.Endpoint)
 				}
 			}
-			requests := max(countWithin(sent[service], from, newest.At), countWithin(sent[service], from.Add(-c.Bounds.Window), from))
-			if allowed := c.Bounds.Ratio*float64(requests) + c.Bounds.Extra; float64(len(counted)) > allowed {
+			requests := max(countWithin(sent[service], from, newest.At), countWithin(sent[service], from.Add(-c.Bounds.RetryWindow), from))
+			if allowed := c.Bounds.RetryRatio*float64(requests) + c.Bounds.RetrySlack; float64(len(counted)) > allowed {
 				c.violated("retry budget", service, newest.At, "%d retries within %s, allowed %.1f: %s",
-					len(counted), c.Bounds.Window, allowed, strings.Join(counted, ", "))
+					len(counted), c.Bounds.RetryWindow, allowed, strings.Join(counted, ", "))
 			}
 		}
 	}
--- a/internal/soak/checker/checker_test.go
+++ b/internal/soak/checker/checker_test.go
@@ -19,8 +19,8 @@
 
 // bounds are short and without slack, so that the tests need not wait.
 var bounds = checker.Bounds{
-	Contact: time.Second, Drain: 2 * time.Second, Config: 2 * time.Second, Outer: 5 * time.Second,
-	Gone: 500 * time.Millisecond, Ratio: 0.2, Extra: 2, Window: 10 * time.Second, Timed: true,
+	CalmTime: time.Second, ChangeDelay: 2 * time.Second, ConfigDelay: 2 * time.Second, PeerDelay: 5 * time.Second,
+	CancelDelay: 500 * time.Millisecond, RetryRatio: 0.2, RetrySlack: 2, RetryWindow: 10 * time.Second, Timed: true,
 	LimitRate: 1, LimitBurst: 1, LimitWindow: 2 * time.Second, ColdRate: 1.5,
 }
 
@@ -37,12 +37,12 @@
 func call(id, path string) caller.Call {
 	now := time.Now()
 	c := caller.Call{
-		ID: id, Kind: kind(path), Gateway: caller.Gateway{Name: "a-1", Life: 1},
+		ID: id, Kind: kind(path), Gateway: caller.Gateway{Name: "a-1", Incarnation: 1},
 		Sent: now.Add(-300 * time.Millisecond), Ended: now.Add(-100 * time.Millisecond),
-		Reply: standin.Reply{Status: http.StatusOK, Signed: true, Body: standin.Whole(id)},
+		Reply: standin.Response{Status: http.StatusOK, Signed: true, Body: standin.AnswerBody(id)},
 	}
 	if c.Kind.Stream {
-		c.Reply.Body = standin.Stream(id, standin.Events)
+		c.Reply.Body = standin.StreamBody(id, standin.Events)
 	}
 	return c
 }
@@ -99,7 +99,7 @@
 
 func setLeaving(r *checker.Run) { r.Leaving = true }
 
-func setBackoff(r *checker.Run) { r.Rest, r.Ran = 3*time.Second, false }
+func setBackoff(r *checker.Run) { r.Backoff, r.Ran = 3*time.Second, false }
 
 // limited returns a scenario of an endpoint that names a limit of one request a second in
 // answers to each of the instances, followed by a burst of requests.
@@ -140,7 +140,7 @@
 func evacuated(after time.Duration, over bool) scenario {
 	s := singleCall("/safe/x", func(_ *caller.Call, r *checker.Run) { r.At, r.Zone = time.Now().Add(after), "a" })
 	s.observe = func(c *checker.Checker) {
-		end := c.Evacuated("a")
+		end := c.ZoneEvacuated("a")
 		if over {
 			end()
 		}
@@ -158,7 +158,7 @@
 		r.At = time.Now().Add(after + time.Duration(n)*100*time.Millisecond)
 		s.calls, s.runs = append(s.calls, c), append(s.runs, r)
 	}
-	s.observe = func(c *checker.Checker) { c.Cold("e1") }
+	s.observe = func(c *checker.Checker) { c.EndpointCold("e1") }
 	return s
 }
 
@@ -166,7 +166,7 @@
 // endpoint of the given zone.
 func home(zone string) scenario {
 	c := call("r1", "/safe/x")
-	c.Kind = caller.Home("a")
+	c.Kind = caller.HomeKind("a")
 	r := run(c)
 	r.Zone = zone
 	return scenario{calls: []caller.Call{c}, runs: []checker.Run{r}}
@@ -191,12 +191,12 @@
 			return s
 		}()},
 		{"rejected as not run, but ran", "true refusal", singleCall("/once/x", func(c *caller.Call, _ *checker.Run) {
-			c.Reply = standin.Reply{Status: http.StatusServiceUnavailable}
+			c.Reply = standin.Response{Status: http.StatusServiceUnavailable}
 		})},
 		{"answer without an endpoint's signature", "own answer", singleCall("/safe/x", func(c *caller.Call, _ *checker.Run) { c.Reply.Signed = false })},
-		{"answer to another request", "whole answer", singleCall("/safe/x", func(c *caller.Call, _ *checker.Run) { c.Reply.Body = standin.Whole("r2") })},
+		{"answer to another request", "whole answer", singleCall("/safe/x", func(c *caller.Call, _ *checker.Run) { c.Reply.Body = standin.AnswerBody("r2") })},
 		{"stream without its last event", "whole answer", singleCall("/stream/x", func(c *caller.Call, _ *checker.Run) {
-			c.Reply.Body = standin.Stream("r1", standin.Events-1)
+			c.Reply.Body = standin.StreamBody("r1", standin.Events-1)
 		})},
 		{"interrupted stream with a repeated event", "unmixed answer", singleCall("/stream/x", func(c *caller.Call, _ *checker.Run) {
 			c.Reply.Body, c.Reply.Err = standin.Event("r1", 1)+standin.Event("r1", 1), errCut
@@ -205,10 +205,10 @@
 			c.Reply.Body, c.Reply.Err = standin.Event("r1", 1)+"id: 2", errCut
 		})},
 		{"route of every configuration not found", "allowed", singleCall("/safe/x", func(c *caller.Call, _ *checker.Run) {
-			c.Reply = standin.Reply{Status: http.StatusNotFound}
+			c.Reply = standin.Response{Status: http.StatusNotFound}
 		})},
 		{"run for another workspace", "own workspace", singleCall("/safe/x", func(_ *caller.Call, r *checker.Run) { r.Workspace = "fern" })},
-		{"caller's key passed to the endpoint", "own workspace", singleCall("/safe/x", func(_ *caller.Call, r *checker.Run) { r.Key = true })},
+		{"caller's key passed to the endpoint", "own workspace", singleCall("/safe/x", func(_ *caller.Call, r *checker.Run) { r.HasKey = true })},
 		{"workspace over its limit", "limit of a workspace", manyCalls("/unsafe/y", 4)},
 		{"workspace at its limit", "", manyCalls("/unsafe/y", 3)},
 		{"workspace without a limit", "", manyCalls("/safe/x", 9)},
@@ -216,21 +216,25 @@
 		{"run by another service", "own service", singleCall("/safe/x", func(_ *caller.Call, r *checker.Run) { r.Service = "llm" })},
 		{"request that no caller sent", "unasked", singleCall("/safe/x", func(_ *caller.Call, r *checker.Run) { r.Request = "r9" })},
 		{"work for a caller that disconnected", "caller gone", singleCall("/stream/x", func(c *caller.Call, r *checker.Run) {
-			c.Left, c.Reply = true, standin.Reply{Err: errCut}
+			c.Disconnected, c.Reply = true, standin.Response{Err: errCut}
 			c.Sent, c.Ended = c.Sent.Add(-2*time.Second), c.Ended.Add(-2*time.Second)
 			r.Ended = time.Time{}
 		})},
 		{"no answer", "answered", singleCall("/safe/x", func(c *caller.Call, _ *checker.Run) {
-			c.Sent, c.Reply = c.Ended.Add(-6*time.Second), standin.Reply{Err: errCut}
+			c.Sent, c.Reply = c.Ended.Add(-6*time.Second), standin.Response{Err: errCut}
 		})},
 		{"planned stop interrupts an answer", "planned stop", func() scenario {
-			s := singleCall("/stream/x", func(c *caller.Call, _ *checker.Run) { c.Reply = standin.Reply{Status: 200, Signed: true, Err: errCut} })
+			s := singleCall("/stream/x", func(c *caller.Call, _ *checker.Run) {
+				c.Reply = standin.Response{Status: 200, Signed: true, Err: errCut}
+			})
 			s.beginFaults = func(f *timeline.Timeline) { f.Begin(timeline.Planned, "a-1", "stop") }
 			s.calls[0].Ended = time.Now().Add(time.Second)
 			return s
 		}()},
 		{"endpoint crashes during a planned stop", "", func() scenario {
-			s := singleCall("/stream/x", func(c *caller.Call, _ *checker.Run) { c.Reply = standin.Reply{Status: 200, Signed: true, Err: errCut} })
+			s := singleCall("/stream/x", func(c *caller.Call, _ *checker.Run) {
+				c.Reply = standin.Response{Status: 200, Signed: true, Err: errCut}
+			})
 			s.beginFaults = func(f *timeline.Timeline) {
 				f.Begin(timeline.Planned, "a-1", "stop")
 				f.Begin(timeline.Endpoint, "e1", "crash")
@@ -238,21 +242,21 @@
 			s.calls[0].Ended = time.Now().Add(time.Second)
 			return s
 		}()},
-		{"process exits unexpectedly", "lives on", scenario{observe: func(c *checker.Checker) { c.Ended("a-1", 1, errCut) }}},
-		{"process does not stop", "planned stop", scenario{observe: func(c *checker.Checker) { c.Outlived("a-1", 1, time.Now()) }}},
+		{"process exits unexpectedly", "lives on", scenario{observe: func(c *checker.Checker) { c.ProcessExited("a-1", 1, errCut) }}},
+		{"process does not stop", "planned stop", scenario{observe: func(c *checker.Checker) { c.StopOverdue("a-1", 1, time.Now()) }}},
 		{"paused process does not stop", "", scenario{
 			beginFaults: func(f *timeline.Timeline) { f.Begin(timeline.Process, "a-1", "pause") },
-			observe:     func(c *checker.Checker) { c.Outlived("a-1", 1, time.Now()) },
+			observe:     func(c *checker.Checker) { c.StopOverdue("a-1", 1, time.Now()) },
 		}},
 		{"leaving endpoint gets a request", "leaving endpoint", func() scenario {
 			s := singleCall("/safe/x", func(_ *caller.Call, r *checker.Run) { r.At = time.Now().Add(3 * time.Second) })
-			s.observe = func(c *checker.Checker) { c.Leaves("e1") }
+			s.observe = func(c *checker.Checker) { c.EndpointLeaving("e1") }
 			return s
 		}()},
 		{"leaving endpoint gets a request while the store fails an instance", "", func() scenario {
 			s := singleCall("/safe/x", func(_ *caller.Call, r *checker.Run) { r.At = time.Now().Add(3 * time.Second) })
-			s.observe = func(c *checker.Checker) { c.Leaves("e1") }
-			s.beginFaults = func(f *timeline.Timeline) { f.Begin(timeline.Door, "a-1", "busy") }
+			s.observe = func(c *checker.Checker) { c.EndpointLeaving("e1") }
+			s.beginFaults = func(f *timeline.Timeline) { f.Begin(timeline.InstanceStore, "a-1", "busy") }
 			return s
 		}()},
 		{"evacuated zone gets a request", "evacuated zone", evacuated(3*time.Second, false)},
@@ -291,16 +295,16 @@
 		{"requests over a limit, instances partitioned", "", during(limited(4, 12), timeline.Peers, "")},
 		{"configuration not in force", "configuration", func() scenario {
 			c := call("r1", "/safe/x")
-			c.Kind, c.Reply = caller.Added(2), standin.Reply{Status: http.StatusNotFound}
+			c.Kind, c.Reply = caller.AddedKind(2), standin.Response{Status: http.StatusNotFound}
 			c.Sent, c.Ended = time.Now().Add(3*time.Second), time.Now().Add(3*time.Second)
-			return scenario{calls: []caller.Call{c}, observe: func(c *checker.Checker) { c.Configured(2) }}
+			return scenario{calls: []caller.Call{c}, observe: func(c *checker.Checker) { c.ConfigurationStored(2) }}
 		}()},
 		{"configuration reverted", "never back", func() scenario {
 			newer, older := call("r1", "/safe/x"), call("r2", "/safe/x")
-			newer.Kind, older.Kind = caller.Added(3), caller.Added(2)
-			older.Sent, older.Reply = time.Now(), standin.Reply{Status: http.StatusNotFound}
+			newer.Kind, older.Kind = caller.AddedKind(3), caller.AddedKind(2)
+			older.Sent, older.Reply = time.Now(), standin.Response{Status: http.StatusNotFound}
 			r := run(newer)
-			r.Target = caller.Added(3).Path
+			r.Target = caller.AddedKind(3).Path
 			return scenario{calls: []caller.Call{newer, older}, runs: []checker.Run{r}}
 		}()},
 		{"first prefill rejected", "", func() scenario {
@@ -332,7 +336,7 @@
 				test.observe(c)
 			}
 			for _, call := range test.calls {
-				c.Called(call)
+				c.RecordCall(call)
 			}
 			var got []string
 			for _, v := range c.Check(true) {
--- a/internal/soak/checker/evacuation.go
+++ b/internal/soak/checker/evacuation.go
@@ -6,9 +6,9 @@
 	"github.com/trailshed/trailshed/internal/soak/caller"
 )
 
-// Evacuated records that the store has acknowledged the evacuation of a zone. The caller
+// ZoneEvacuated records that the store has acknowledged the evacuation of a zone. The caller
 // calls end just before the evacuation is revoked.
-func (c *Checker) Evacuated(zone string) (end func()) { return c.beginChange(&c.evacuated, zone) }
+func (c *Checker) ZoneEvacuated(zone string) (end func()) { return c.beginChange(&c.evacuated, zone) }
 
 // checkEvacuated checks for a request at an endpoint of an evacuated zone.
 func (c *Checker) checkEvacuated(call caller.Call, r Run) {
--- a/internal/soak/checker/limits.go
+++ b/internal/soak/checker/limits.go
@@ -65,7 +65,7 @@
 // checkLimitPeriod checks the requests of instances that knew the limit, in a sliding
 // window.
 func (c *Checker) checkLimitPeriod(endpoint string, p limitPeriod) {
-	begin := p.from.Add(c.Bounds.Contact + c.Bounds.Slack)
+	begin := p.from.Add(c.Bounds.CalmTime + c.Bounds.Slack)
 	allowed := int(limitFactor*p.rate*limitWindow.Seconds() + limitExtra)
 	informed := map[incarnation]time.Time{}
 	var counted []Run
@@ -111,7 +111,7 @@
 	if !known || r.At.Sub(at) < limitDelay+c.Bounds.Slack {
 		return false
 	}
-	from := r.At.Add(-limitWindow - c.Bounds.Contact)
-	return c.Faults.Calm(from, r.At, inc.name, timeline.Process, timeline.Planned, timeline.Peers) &&
-		c.Faults.Calm(from, r.At, endpoint, timeline.Endpoint)
+	from := r.At.Add(-limitWindow - c.Bounds.CalmTime)
+	return c.Faults.Undisturbed(from, r.At, inc.name, timeline.Process, timeline.Planned, timeline.Peers) &&
+		c.Faults.Undisturbed(from, r.At, endpoint, timeline.Endpoint)
 }
--- a/internal/soak/checker/notices.go
+++ b/internal/soak/checker/notices.go
@@ -48,7 +48,7 @@
 		for _, r := range list {
 			call := c.calls[r.Request]
 			after := call.Sent.Sub(notice.Ended)
-			if after > c.Bounds.Drain+c.Bounds.Slack && c.mustHeed(pair, notice, r.At) {
+			if after > c.Bounds.ChangeDelay+c.Bounds.Slack && c.mustHeed(pair, notice, r.At) {
 				c.violated("announced leave", call.ID, r.At, "%s sent it to %s %s after an answer announced that it is leaving",
 					pair.name, pair.endpoint, after.Round(time.Millisecond))
 			}
@@ -61,19 +61,19 @@
 // to back off.
 func (c *Checker) checkBackoff(pair senderPair, list []Run) {
 	for _, rejected := range list {
-		if rejected.Rest == 0 || !c.relayed(rejected) {
+		if rejected.Backoff == 0 || !c.relayed(rejected) {
 			continue
 		}
 		late := 0
 		for _, r := range list {
 			at := r.At.Sub(rejected.At)
-			if at > backoffDelay+c.Bounds.Slack && at < rejected.Rest && c.mustHeed(pair, rejected, r.At) {
+			if at > backoffDelay+c.Bounds.Slack && at < rejected.Backoff && c.mustHeed(pair, rejected, r.At) {
 				late++
 			}
 		}
 		if late > maxBackoffRequests {
 			c.violated("rest", rejected.Request, rejected.At, "%s sent %d requests to %s during a backoff of %s",
-				pair.name, late, pair.endpoint, rejected.Rest)
+				pair.name, late, pair.endpoint, rejected.Backoff)
 		}
 	}
 }
@@ -81,12 +81,12 @@
 // relayed reports whether an instance relayed an endpoint's answer completely: neither
 // the caller nor the instance dropped it before its end.
 func (c *Checker) relayed(r Run) bool {
-	return !r.Ended.IsZero() && !r.Cancelled && !c.calls[r.Request].Left
+	return !r.Ended.IsZero() && !r.Cancelled && !c.calls[r.Request].Disconnected
 }
 
 // mustHeed reports whether an instance that received a notice must act on it until a later
 // moment: no fault made it lose the notice or kept it from acting on it.
 func (c *Checker) mustHeed(pair senderPair, notice Run, until time.Time) bool {
-	return c.Faults.Calm(notice.At, until, pair.name, timeline.Process) &&
-		c.Faults.Calm(notice.At.Add(-c.Bounds.Slack), until, pair.endpoint, timeline.Endpoint)
+	return c.Faults.Undisturbed(notice.At, until, pair.name, timeline.Process) &&
+		c.Faults.Undisturbed(notice.At.Add(-c.Bounds.Slack), until, pair.endpoint, timeline.Endpoint)
 }
--- a/internal/soak/checker/poison.go
+++ b/internal/soak/checker/poison.go
@@ -21,7 +21,7 @@
 func (c *Checker) checkPoison(runs []Run) {
 	byBody := map[string][]Run{}
 	for _, r := range runs {
-		if strings.HasPrefix(r.Body, caller.PoisonMark) {
+		if strings.HasPrefix(r.Body, caller.PoisonMarker) {
 			byBody[r.Body] = append(byBody[r.Body], r)
 		}
 	}
@@ -30,7 +30,7 @@
 		crashes, later := 0, 0
 		var threshold Run
 		for _, r := range list {
-			if crashes >= poisonCrashes && r.At.After(threshold.At.Add(c.Bounds.Contact+c.Bounds.Slack)) && c.inContact(r) {
+			if crashes >= poisonCrashes && r.At.After(threshold.At.Add(c.Bounds.CalmTime+c.Bounds.Slack)) && c.inContact(r) {
 				later++
 			}
 			if r.Ran && !r.Prefill {
@@ -49,7 +49,7 @@
 // the store.
 func (c *Checker) inContact(r Run) bool {
 	call, ended := c.calls[r.Request]
-	from := r.At.Add(-c.Bounds.Contact - c.Bounds.Slack)
-	return ended && c.Faults.Calm(from, r.At, call.Gateway.Name, timeline.Process, timeline.Planned, timeline.Door) &&
-		c.Faults.Calm(from, r.At, "", timeline.Store)
+	from := r.At.Add(-c.Bounds.CalmTime - c.Bounds.Slack)
+	return ended && c.Faults.Undisturbed(from, r.At, call.Gateway.Name, timeline.Process, timeline.Planned, timeline.InstanceStore) &&
+		c.Faults.Undisturbed(from, r.At, "", timeline.Store)
 }
--- a/internal/soak/checker/store_changes.go
+++ b/internal/soak/checker/store_changes.go
@@ -31,9 +31,9 @@
 // mustKnow reports whether the instance that sent a request must have known of a change
 // made at since, and no fault affected the endpoint or the link to it.
 func (c *Checker) mustKnow(call caller.Call, r Run, since time.Time) bool {
-	bound := c.Bounds.Drain + c.Bounds.Slack
+	bound := c.Bounds.ChangeDelay + c.Bounds.Slack
 	return c.canKnow(call, since, r.At, &bound) && r.At.After(since.Add(bound)) &&
-		c.Faults.Calm(since, r.At, r.Endpoint, timeline.Endpoint)
+		c.Faults.Undisturbed(since, r.At, r.Endpoint, timeline.Endpoint)
 }
 
 // inForce reports whether a change was in force when a request arrived.
--- a/internal/soak/clocks/clocks.go
+++ b/internal/soak/clocks/clocks.go
@@ -43,8 +43,8 @@
 			wall, monotonic = machine.Read()
 			return wall, monotonic - readSuspended(f)
 		},
-		Asleep: func() (time.Duration, error) {
-			asleep, err := machine.Asleep()
+		SuspendedTime: func() (time.Duration, error) {
+			asleep, err := machine.SuspendedTime()
 			return asleep + readSuspended(f), err
 		},
 	}, nil
--- a/internal/soak/clocks/clocks_test.go
+++ b/internal/soak/clocks/clocks_test.go
@@ -19,13 +19,13 @@
 	source, err := clocks.Open(path)
 	c.Assert(err, qt.IsNil)
 	first := clock.Open(source)
-	c.Assert(first.Slept(), qt.Equals, time.Duration(0))
+	c.Assert(first.Suspended(), qt.Equals, time.Duration(0))
 	for range 2 {
 		c.Assert(clocks.Suspend(path, 3*time.Second), qt.IsNil)
 		first.Now()
 	}
-	c.Assert(first.Slept().Round(100*time.Millisecond), qt.Equals, 6*time.Second)
+	c.Assert(first.Suspended().Round(100*time.Millisecond), qt.Equals, 6*time.Second)
 	later, err := clocks.Open(path) // a process started after the suspensions
 	c.Assert(err, qt.IsNil)
-	c.Assert(clock.Open(later).Slept(), qt.Equals, time.Duration(0))
+	c.Assert(clock.Open(later).Suspended(), qt.Equals, time.Duration(0))
 }
--- a/internal/soak/ether/ether.go
+++ b/internal/soak/ether/ether.go
@@ -18,8 +18,8 @@
 // dropped.
 type Loss func(from, to netip.AddrPort) float64
 
-// Ether forwards datagrams to one process, the target, and its replies back.
-type Ether struct {
+// Proxy forwards datagrams to one process, the target, and its replies back.
+type Proxy struct {
 	Address netip.AddrPort
 
 	target  netip.AddrPort
@@ -30,18 +30,18 @@
 }
 
 // New opens a proxy on address for the process at target.
-func New(address, target netip.AddrPort, loss Loss) (*Ether, error) {
+func New(address, target netip.AddrPort, loss Loss) (*Proxy, error) {
 	front, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
 	if err != nil {
 		return nil, err
 	}
-	e := &Ether{Address: address, target: target, loss: loss, front: front, sockets: map[netip.AddrPort]*net.UDPConn{}}
+	e := &Proxy{Address: address, target: target, loss: loss, front: front, sockets: map[netip.AddrPort]*net.UDPConn{}}
 	go e.forward()
 	return e, nil
 }
 
 // Close closes all sockets of the proxy.
-func (e *Ether) Close() {
+func (e *Proxy) Close() {
 	_ = e.front.Close()
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -51,7 +51,7 @@
 }
 
 // forward forwards datagrams to the target until the proxy is closed.
-func (e *Ether) forward() {
+func (e *Proxy) forward() {
 	buffer := make([]byte, maxDatagram)
 	for {
 		n, sender, err := e.front.ReadFromUDPAddrPort(buffer)
@@ -70,7 +70,7 @@
 }
 
 // socket returns the socket towards the target for a sender, and opens it if necessary.
-func (e *Ether) socket(sender netip.AddrPort) (*net.UDPConn, error) {
+func (e *Proxy) socket(sender netip.AddrPort) (*net.UDPConn, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if c := e.sockets[sender]; c != nil {
@@ -87,7 +87,7 @@
 
 // forwardReplies forwards the target's replies to one sender. It continues after a refused
 // port, since the process may be restarted.
-func (e *Ether) forwardReplies(sender netip.AddrPort, c *net.UDPConn) {
+func (e *Proxy) forwardReplies(sender netip.AddrPort, c *net.UDPConn) {
 	buffer := make([]byte, maxDatagram)
 	for {
 		n, err := c.Read(buffer)
--- a/internal/soak/fleet/endpoint.go
+++ b/internal/soak/fleet/endpoint.go
@@ -45,7 +45,7 @@
 // normalBehaviour returns the behaviour of an endpoint that answers correctly and crashes
 // only on poisoned requests.
 func normalBehaviour() standin.Behaviour {
-	return standin.Behaviour{Delay: answerDelay, Pause: eventInterval, CrashOn: caller.PoisonMark}
+	return standin.Behaviour{Delay: answerDelay, EventInterval: eventInterval, CrashOn: caller.PoisonMarker}
 }
 
 // addEndpoint starts an endpoint and registers it. An empty stage selects the plain
@@ -59,12 +59,12 @@
 		service = "web"
 	}
 	e := &endpoint{Endpoint: standin.NewEndpoint(fmt.Sprintf("%s-%s-%d", service, zone, f.created), service, zone, stage)}
-	e.Behave(normalBehaviour())
+	e.SetBehaviour(normalBehaviour())
 	var err error
 	if e.link, err = link.New(e.Address); err != nil {
 		return err
 	}
-	e.Shown = e.link.Address
+	e.RegisteredAddress = e.link.Address
 	e.OnCrash = func() { f.handlePoison(e) }
 	f.endpoints = append(f.endpoints, e)
 	e.Register(f.store, "ready")
@@ -100,7 +100,7 @@
 	defer f.mu.Unlock()
 	for i := range f.endpoints {
 		e := f.endpoints[(n+i)%len(f.endpoints)]
-		plain := b.Extra || b.Unframed || b.Crossed
+		plain := b.ExtraAnswer || b.NoLength || b.RepeatBeforeNext
 		if plain && e.Stage != "" || b.NoHandle && e.Stage != "decode" {
 			continue
 		}
@@ -132,10 +132,10 @@
 	e.link.Reset()
 	e.Close()
 	sleep(ctx, entryDelay)
-	e.Leave(f.store)
+	e.Deregister(f.store)
 	if reuse {
 		sleep(ctx, reuseDelay-entryDelay)
-		e.link.Aim(f.ofOtherService(e.Service).Address)
+		e.link.SetTarget(f.ofOtherService(e.Service).Address)
 		e.link.Set(link.Clean)
 	}
 	sleep(ctx, length)
@@ -173,15 +173,15 @@
 		return err
 	}
 	if vanish {
-		e.Leave(f.store)
+		e.Deregister(f.store)
 	} else {
 		e.Register(f.store, "draining")
 	}
-	f.checker.Leaves(e.ID)
+	f.checker.EndpointLeaving(e.ID)
 	sleep(ctx, drainTime)
 	end := f.faults.Begin(timeline.Endpoint, e.ID, "ended")
 	defer end()
-	e.Leave(f.store)
+	e.Deregister(f.store)
 	e.link.Set(link.Refused)
 	e.link.Reset()
 	return nil
@@ -190,7 +190,7 @@
 // announce makes an endpoint announce in its answers that it is leaving, and retires it
 // after noticeTime.
 func (f *Fleet) announce(ctx context.Context, e *endpoint, vanish bool) error {
-	e.SayLeaving()
+	e.AnnounceLeaving()
 	sleep(ctx, noticeTime)
 	return f.retire(ctx, e, vanish)
 }
@@ -198,12 +198,12 @@
 // backOff makes an endpoint reject all requests and ask for a backoff each time.
 func (f *Fleet) backOff(ctx context.Context, e *endpoint) {
 	b := normalBehaviour()
-	b.Full, b.Rest = true, backoffTime
+	b.Reject, b.Backoff = true, backoffTime
 	end := f.faults.Begin(timeline.Load, e.ID, "rests")
 	defer end()
-	e.Behave(b)
+	e.SetBehaviour(b)
 	sleep(ctx, 2*backoffTime)
-	e.Behave(normalBehaviour())
+	e.SetBehaviour(normalBehaviour())
 	sleep(ctx, backoffTime)
 }
 
@@ -217,10 +217,10 @@
 	b := normalBehaviour()
 	for n := range 2 {
 		b.Limit = limits[(variant+n)%len(limits)]
-		e.Behave(b)
+		e.SetBehaviour(b)
 		sleep(ctx, limitTime/2)
 	}
-	e.Behave(normalBehaviour())
+	e.SetBehaviour(normalBehaviour())
 }
 
 // makeCold makes an endpoint cold until some time after all instances must know of it.
@@ -233,7 +233,7 @@
 	if !f.registerCold(e, length) {
 		return
 	}
-	end := f.checker.Cold(e.ID)
+	end := f.checker.EndpointCold(e.ID)
 	sleep(ctx, length)
 	end()
 	f.registerCold(e, 0)
@@ -247,7 +247,7 @@
 	if !slices.Contains(f.endpoints, e) {
 		return false
 	}
-	e.Chill(length)
+	e.SetCold(length)
 	e.Register(f.store, "ready")
 	return true
 }
@@ -259,19 +259,19 @@
 		{ResetAfter: -1},
 		{ResetAfter: 2},
 		{Status: 500},
-		{Full: true},
-		{Extra: true},
-		{Unframed: true},
-		{Crossed: true},
+		{Reject: true},
+		{ExtraAnswer: true},
+		{NoLength: true},
+		{RepeatBeforeNext: true},
 		{Unsigned: true},
 		{NoHandle: true},
-		{Hang: true, Share: 0.4},
-		{ResetAfter: -1, Share: 0.4},
-		{ResetAfter: 3, Share: 0.4},
-		{Status: 500, Share: 0.4},
+		{Hang: true, Fraction: 0.4},
+		{ResetAfter: -1, Fraction: 0.4},
+		{ResetAfter: 3, Fraction: 0.4},
+		{Status: 500, Fraction: 0.4},
 	}
 	for i := range list {
-		list[i].Delay, list[i].Pause = answerDelay, eventInterval
+		list[i].Delay, list[i].EventInterval = answerDelay, eventInterval
 	}
-	return append(list, standin.Behaviour{Delay: 40 * answerDelay, Pause: 10 * eventInterval})
+	return append(list, standin.Behaviour{Delay: 40 * answerDelay, EventInterval: 10 * eventInterval})
 }
--- a/internal/soak/fleet/fleet.go
+++ b/internal/soak/fleet/fleet.go
@@ -23,18 +23,18 @@
 
 // Options configure one run.
 type Options struct {
-	Program string // the trailshed binary
-	Dir     string // for settings and logs
-	Seed    uint64
-	Length  time.Duration // of the part with faults
+	Program       string // the trailshed binary
+	Dir           string // for settings and logs
+	Seed          uint64
+	FaultDuration time.Duration // of the part with faults
 	// Network is the loopback /24 network from which the instances get their addresses.
-	Network netip.Addr
-	Zones   []string
-	PerZone int // instances in each zone
-	Callers int
-	Timed   bool          // also check time bounds
-	Only    schedule.Kind // the only kind of steps; empty for all kinds
-	More    bool          // add the steps of schedule.More
+	Network    netip.Addr
+	Zones      []string
+	PerZone    int // instances in each zone
+	Callers    int
+	Timed      bool          // also check time bounds
+	OnlyKind   schedule.Kind // the only kind of steps; empty for all kinds
+	ExtraSteps bool          // add the steps of schedule.More
 }
 
 const (
@@ -82,19 +82,19 @@
 
 // Result is the result of a run.
 type Result struct {
-	Seed       uint64
-	Violations []checker.Violation
-	Steps      int
-	Good, All  int
-	Faults     *timeline.Timeline
+	Seed                uint64
+	Violations          []checker.Violation
+	Steps               int
+	Succeeded, Requests int
+	Faults              *timeline.Timeline
 }
 
 // Run executes one run. The error is that of starting the fleet or of its recovery.
 func Run(ctx context.Context, o Options) (Result, error) {
 	f := &Fleet{Options: o, store: standin.NewStore(), faults: &timeline.Timeline{}, claimed: map[string]bool{}}
-	home := caller.Home(o.Zones[0])
+	home := caller.HomeKind(o.Zones[0])
 	route := standin.NewRoute("home", home.Path[:len(home.Path)-1], "idempotent", home.Service, 2, false)
-	route.Regions = []string{region(home.Home)}
+	route.Regions = []string{region(home.HomeZone)}
 	f.routes = []standin.Route{route}
 	f.checker = checker.New(bounds(o.Timed), f.faults, f.arrivals)
 	defer f.close()
@@ -104,28 +104,28 @@
 	steps := f.schedule()
 	err := f.run(ctx, steps)
 	r := Result{Seed: o.Seed, Violations: f.checker.Check(true), Steps: len(steps), Faults: f.faults}
-	r.Good, r.All = f.checker.Served()
+	r.Succeeded, r.Requests = f.checker.Served()
 	return r, err
 }
 
 // schedule returns the steps of the run.
 func (f *Fleet) schedule() []schedule.Step {
-	if schedule.IsBeside(f.Only) {
-		return slices.DeleteFunc(schedule.More(f.Seed, f.Length), func(s schedule.Step) bool { return s.Kind != f.Only })
+	if schedule.IsExtra(f.OnlyKind) {
+		return slices.DeleteFunc(schedule.Extra(f.Seed, f.FaultDuration), func(s schedule.Step) bool { return s.Kind != f.OnlyKind })
 	}
-	steps := schedule.New(f.Seed, f.Length, f.Only)
-	if !f.More || f.Only != "" {
+	steps := schedule.New(f.Seed, f.FaultDuration, f.OnlyKind)
+	if !f.ExtraSteps || f.OnlyKind != "" {
 		return steps
 	}
-	return schedule.Join(steps, schedule.More(f.Seed, f.Length))
+	return schedule.Merge(steps, schedule.Extra(f.Seed, f.FaultDuration))
 }
 
 // bounds returns the bounds that the checker applies to a run.
 func bounds(timed bool) checker.Bounds {
 	return checker.Bounds{
-		Contact: 3 * time.Second, Drain: 2 * time.Second, Config: 2 * time.Second, Outer: 5 * time.Second,
-		Gone: 500 * time.Millisecond, Slack: 1500 * time.Millisecond,
-		Ratio: retryRatio, Extra: retrySlack, Window: retryWindow, Timed: timed,
+		CalmTime: 3 * time.Second, ChangeDelay: 2 * time.Second, ConfigDelay: 2 * time.Second, PeerDelay: 5 * time.Second,
+		CancelDelay: 500 * time.Millisecond, Slack: 1500 * time.Millisecond,
+		RetryRatio: retryRatio, RetrySlack: retrySlack, RetryWindow: retryWindow, Timed: timed,
 		// Partitioned instances and those that have just started may exceed the limit.
 		LimitRate: caller.LimitRate, LimitBurst: caller.LimitBurst, LimitSlack: 30, LimitWindow: 8 * time.Second,
 		ColdRate: coldRate,
@@ -162,12 +162,12 @@
 	callCtx, stopCalls := context.WithCancel(ctx)
 	var group sync.WaitGroup
 	for range f.Callers {
-		c := &caller.Caller{Pick: f.pickInstance, Kind: f.nextKind, Done: f.checker.Called, Next: f.nextID}
+		c := &caller.Caller{PickGateway: f.pickInstance, NextKind: f.nextKind, Done: f.checker.RecordCall, NextID: f.nextID}
 		group.Go(func() { c.Run(callCtx, callerPause) })
 	}
 	group.Go(func() { f.balance(callCtx) })
 	group.Go(func() { f.checkPeriodically(callCtx) })
-	faultCtx, endFaults := context.WithTimeout(ctx, f.Length)
+	faultCtx, endFaults := context.WithTimeout(ctx, f.FaultDuration)
 	started := time.Now()
 	for _, s := range steps {
 		if !sleep(faultCtx, s.At-time.Since(started)) {
@@ -201,10 +201,10 @@
 	version := f.version
 	f.mu.Unlock()
 	if version > 1 && rand.Float64() < addedRatio {
-		return caller.Added(2 + rand.IntN(version-1))
+		return caller.AddedKind(2 + rand.IntN(version-1))
 	}
 	if rand.Float64() < homeRatio {
-		return caller.Home(f.Zones[0])
+		return caller.HomeKind(f.Zones[0])
 	}
 	kinds := caller.Kinds()
 	return kinds[rand.IntN(len(kinds))]
@@ -213,10 +213,10 @@
 // waitReady waits until each instance has served each kind of request. It probes up to
 // maxParallelProbes instances at a time.
 func (f *Fleet) waitReady() error {
-	kinds := append(caller.Kinds(), caller.Home(f.Zones[0]))
+	kinds := append(caller.Kinds(), caller.HomeKind(f.Zones[0]))
 	f.mu.Lock()
 	if f.version > 1 {
-		kinds = append(kinds, caller.Added(f.version))
+		kinds = append(kinds, caller.AddedKind(f.version))
 	}
 	instances := f.instances
 	f.mu.Unlock()
@@ -250,8 +250,8 @@
 			continue // served like the other kinds of its service, but takes seconds
 		}
 		for {
-			call := caller.One(context.Background(), i.gateway(), k, f.nextID())
-			f.checker.Called(call)
+			call := caller.SendOne(context.Background(), i.gateway(), k, f.nextID())
+			f.checker.RecordCall(call)
 			if call.Reply.Err == nil && call.Reply.Status == 200 {
 				break
 			}
@@ -270,13 +270,13 @@
 	f.version++
 	version := f.version
 	if version > 1 {
-		k := caller.Added(version)
+		k := caller.AddedKind(version)
 		f.routes = append(f.routes, standin.NewRoute(k.Path, k.Path[:len(k.Path)-1], "idempotent", k.Service, 2, false))
 	}
 	f.store.Configure(standin.NewDocument(version, f.routes...).
-		With(caller.Workspaces()...).Chill("web", coldRate).Chill("llm", coldRate))
+		WithWorkspaces(caller.Workspaces()...).WithColdRate("web", coldRate).WithColdRate("llm", coldRate))
 	f.mu.Unlock()
-	f.checker.Configured(version)
+	f.checker.ConfigurationStored(version)
 }
 
 // probe sends requests for the route of a version to all instances that are in rotation.
@@ -284,7 +284,7 @@
 	for until := time.Now().Add(probeDuration); time.Now().Before(until) && sleep(ctx, probeInterval); {
 		for _, i := range f.allInstances() {
 			if i.inRotation.Load() {
-				f.checker.Called(caller.One(ctx, i.gateway(), caller.Added(version), f.nextID()))
+				f.checker.RecordCall(caller.SendOne(ctx, i.gateway(), caller.AddedKind(version), f.nextID()))
 			}
 		}
 	}
--- a/internal/soak/fleet/instance.go
+++ b/internal/soak/fleet/instance.go
@@ -56,10 +56,10 @@
 	regions    string // regions of all zones, in the format of the settings
 	ip         netip.Addr
 	program    *program.Program
-	door       *standin.Door // its access to the store
-	doorLink   *link.Link    // in front of the door
-	ether      *ether.Ether  // in front of its port for peers
-	inRotation atomic.Bool   // the balancer sends it requests
+	door       *standin.Proxy // its access to the store
+	doorLink   *link.Link     // in front of the door
+	ether      *ether.Proxy   // in front of its port for peers
+	inRotation atomic.Bool    // the balancer sends it requests
 
 	mu           sync.Mutex
 	inboundLoss  float64 // fraction of the datagrams to it that is dropped
@@ -81,14 +81,14 @@
 func (i *instance) addr(port uint16) netip.AddrPort { return netip.AddrPortFrom(i.ip, port) }
 
 func (i *instance) gateway() caller.Gateway {
-	return caller.Gateway{Name: i.name, Life: i.program.Life(), At: i.addr(portCallers)}
+	return caller.Gateway{Name: i.name, Incarnation: i.program.Incarnation(), Address: i.addr(portCallers)}
 }
 
 // addInstance prepares an instance with its proxies, without starting the process.
 func (f *Fleet) addInstance(zone string, n int) error {
 	address := f.Network.As4()
 	address[3] = byte(10 + len(f.instances))
-	i := &instance{name: fmt.Sprintf("%s-%d", zone, n), zone: zone, regions: regions(f.Zones), ip: netip.AddrFrom4(address), door: f.store.Open()}
+	i := &instance{name: fmt.Sprintf("%s-%d", zone, n), zone: zone, regions: regions(f.Zones), ip: netip.AddrFrom4(address), door: f.store.NewProxy()}
 	var err error
 	if i.doorLink, err = link.New(i.door.Address); err != nil {
 		return err
@@ -101,8 +101,8 @@
 		return err
 	}
 	i.program = &program.Program{
-		File: f.Program, Settings: filepath.Join(dir, i.name+".yaml"), Log: filepath.Join(dir, i.name+".log"),
-		Failed: func(how error) { f.checker.Ended(i.name, i.program.Life(), how) },
+		Executable: f.Program, Settings: filepath.Join(dir, i.name+".yaml"), Log: filepath.Join(dir, i.name+".log"),
+		OnFailure: func(how error) { f.checker.ProcessExited(i.name, i.program.Incarnation(), how) },
 	}
 	f.instances = append(f.instances, i)
 	return i.writeSettings(grace)
@@ -151,7 +151,7 @@
 
 // close ends the process, by SIGKILL since the run is over, and closes the proxies.
 func (i *instance) close() {
-	program.Over(i.program.Signal(syscall.SIGKILL), waitTimeout)
+	program.WaitExit(i.program.Signal(syscall.SIGKILL), waitTimeout)
 	i.ether.Close()
 	i.doorLink.Close()
 	i.door.Close()
--- a/internal/soak/fleet/steps.go
+++ b/internal/soak/fleet/steps.go
@@ -46,40 +46,40 @@
 	all := f.allInstances()
 	i := all[s.Target%len(all)]
 	switch s.Kind {
-	case schedule.Suspend, schedule.Poison, schedule.Announce, schedule.Rest, schedule.Limit,
-		schedule.Evacuate, schedule.Chill:
+	case schedule.Suspend, schedule.Poison, schedule.Announce, schedule.Backoff, schedule.Limit,
+		schedule.Evacuate, schedule.Cold:
 		return f.applyExtra(ctx, s, i)
 	case schedule.Kill:
-		return f.kill(ctx, s.For, i)
+		return f.kill(ctx, s.Duration, i)
 	case schedule.KillAll:
-		return f.kill(ctx, s.For, all...)
+		return f.kill(ctx, s.Duration, all...)
 	case schedule.Pause:
-		f.pause(ctx, s.For, i)
+		f.pause(ctx, s.Duration, i)
 	case schedule.Stop:
-		return f.stop(ctx, s.For, i)
+		return f.stop(ctx, s.Duration, i)
 	case schedule.Roll:
 		return f.roll(ctx, f.Zones[s.Target%len(f.Zones)])
-	case schedule.Hangup:
-		return f.changeSettings(i, s.How%2 == 0)
+	case schedule.ChangeSettings:
+		return f.changeSettings(i, s.Variant%2 == 0)
 	case schedule.PeersCut, schedule.PeersOneWay, schedule.PeersLossy, schedule.ZoneCut:
 		f.disruptPeers(ctx, s, i)
-	case schedule.DoorFault:
-		f.disruptStoreAccess(ctx, s, timeline.Door, i)
+	case schedule.InstanceStoreFault:
+		f.disruptStoreAccess(ctx, s, timeline.InstanceStore, i)
 	case schedule.StoreFault:
 		f.disruptStoreAccess(ctx, s, timeline.Store, all...)
 	case schedule.StoreSlow:
-		f.delayStore(ctx, s.For)
+		f.delayStore(ctx, s.Duration)
 	case schedule.StoreForget:
-		f.store.Forget()
-	case schedule.Lapse:
-		f.expireEntries(ctx, s.For)
+		f.store.DropHistory()
+	case schedule.ExpireEntries:
+		f.expireEntries(ctx, s.Duration)
 	case schedule.Crash, schedule.Reuse:
-		return f.crash(ctx, f.endpoint(s.Target), s.For, s.Kind == schedule.Reuse)
+		return f.crash(ctx, f.endpoint(s.Target), s.Duration, s.Kind == schedule.Reuse)
 	case schedule.Retire, schedule.Vanish:
 		return f.retire(ctx, f.endpoint(s.Target), s.Kind == schedule.Vanish)
 	case schedule.Misbehave:
 		f.misbehave(ctx, s)
-	case schedule.LinkBad:
+	case schedule.LinkFault:
 		f.disruptLink(ctx, s)
 	case schedule.Configure:
 		f.configureAndProbe(ctx)
@@ -92,25 +92,25 @@
 // applyExtra dispatches a step of schedule.More by its kind.
 func (f *Fleet) applyExtra(ctx context.Context, s schedule.Step, i *instance) error {
 	if s.Kind == schedule.Suspend {
-		return f.suspend(ctx, s.For, i)
+		return f.suspend(ctx, s.Duration, i)
 	}
 	if s.Kind == schedule.Announce {
-		return f.announce(ctx, f.endpoint(s.Target), s.How%2 == 0)
+		return f.announce(ctx, f.endpoint(s.Target), s.Variant%2 == 0)
 	}
 	if s.Kind == schedule.Poison {
 		f.poison(ctx, s)
 		return nil
 	}
-	if s.Kind == schedule.Chill {
-		f.makeCold(ctx, f.endpoint(s.Target), s.For)
+	if s.Kind == schedule.Cold {
+		f.makeCold(ctx, f.endpoint(s.Target), s.Duration)
 		return nil
 	}
 	if s.Kind == schedule.Evacuate {
-		f.evacuate(ctx, f.Zones[s.Target%len(f.Zones)], s.For)
+		f.evacuate(ctx, f.Zones[s.Target%len(f.Zones)], s.Duration)
 		return nil
 	}
 	if s.Kind == schedule.Limit {
-		f.limit(ctx, f.endpoint(s.Target), s.How)
+		f.limit(ctx, f.endpoint(s.Target), s.Variant)
 		return nil
 	}
 	f.backOff(ctx, f.endpoint(s.Target))
@@ -136,7 +136,7 @@
 	}
 	sleep(ctx, length/4)
 	for _, exited := range exits {
-		program.Over(exited, waitTimeout)
+		program.WaitExit(exited, waitTimeout)
 	}
 	return f.restart(ctx, instances...)
 }
@@ -179,10 +179,10 @@
 // poison repeats a request that crashes every engine that runs it, at any instance, during
 // the step and until long after all instances must know of it.
 func (f *Fleet) poison(ctx context.Context, s schedule.Step) {
-	kind := caller.Poison(s.How)
-	for until := time.Now().Add(s.For + poisonOverrun); time.Now().Before(until) && sleep(ctx, poisonInterval); {
+	kind := caller.PoisonKind(s.Variant)
+	for until := time.Now().Add(s.Duration + poisonOverrun); time.Now().Before(until) && sleep(ctx, poisonInterval); {
 		if g, ok := f.pickInstance(); ok {
-			f.checker.Called(caller.One(ctx, g, kind, f.nextID()))
+			f.checker.RecordCall(caller.SendOne(ctx, g, kind, f.nextID()))
 		}
 	}
 }
@@ -193,10 +193,10 @@
 	end := f.faults.Begin(timeline.Planned, i.name, "stop")
 	defer end()
 	signalled := time.Now()
-	if exited := i.program.Signal(syscall.SIGTERM); !program.Over(exited, 2*grace) {
-		f.checker.Outlived(i.name, i.program.Life(), signalled)
+	if exited := i.program.Signal(syscall.SIGTERM); !program.WaitExit(exited, 2*grace) {
+		f.checker.StopOverdue(i.name, i.program.Incarnation(), signalled)
 		i.program.Signal(syscall.SIGCONT) // in case another step has paused it
-		program.Over(i.program.Signal(syscall.SIGKILL), waitTimeout)
+		program.WaitExit(i.program.Signal(syscall.SIGKILL), waitTimeout)
 	}
 	endStart := f.faults.Begin(timeline.Process, i.name, "start")
 	defer endStart()
@@ -224,7 +224,7 @@
 	}
 	defer f.release(zone)
 	f.store.Evacuate(zone)
-	end := f.checker.Evacuated(zone)
+	end := f.checker.ZoneEvacuated(zone)
 	sleep(ctx, minChangeTime+length)
 	end()
 	f.store.EndEvacuation(zone)
@@ -269,8 +269,8 @@
 		end := f.faults.Begin(timeline.Store, "", "zone cut")
 		defer end()
 		for _, z := range affected {
-			z.door.Set(standin.Silent)
-			defer z.door.Set(standin.Healthy)
+			z.door.SetFault(standin.Silent)
+			defer z.door.SetFault(standin.Healthy)
 		}
 	}
 	end := f.faults.Begin(timeline.Peers, "", string(s.Kind))
@@ -278,7 +278,7 @@
 	for _, z := range affected {
 		switch s.Kind {
 		case schedule.PeersOneWay:
-			z.setLoss(float64(s.How%2), float64((s.How+1)%2))
+			z.setLoss(float64(s.Variant%2), float64((s.Variant+1)%2))
 		case schedule.PeersLossy:
 			z.setLoss(0.2, 0.2)
 		default:
@@ -286,7 +286,7 @@
 		}
 		defer z.setLoss(0, 0)
 	}
-	sleep(ctx, s.For)
+	sleep(ctx, s.Duration)
 }
 
 // inZone returns the instances of a zone.
@@ -302,15 +302,15 @@
 
 // disruptStoreAccess makes the store fail in the same way for all given instances.
 func (f *Fleet) disruptStoreAccess(ctx context.Context, s schedule.Step, scope timeline.Scope, instances ...*instance) {
-	faults := []standin.Fault{standin.Busy, standin.Silent, standin.Cut, standin.DeafWatches, standin.LostWrites, standin.Slow}
-	fault := faults[s.How%len(faults)]
+	faults := []standin.Fault{standin.RefusedCalls, standin.Silent, standin.ResetConnections, standin.SilentWatches, standin.UnansweredWrites, standin.Slow}
+	fault := faults[s.Variant%len(faults)]
 	for _, i := range instances {
 		end := f.faults.Begin(scope, i.name, fmt.Sprint("door fault ", fault))
 		defer end()
-		i.door.Set(fault)
-		defer i.door.Set(standin.Healthy)
+		i.door.SetFault(fault)
+		defer i.door.SetFault(standin.Healthy)
 	}
-	sleep(ctx, s.For)
+	sleep(ctx, s.Duration)
 }
 
 // delayStore delays the traffic of all instances with the store.
@@ -330,17 +330,17 @@
 	end := f.faults.Begin(timeline.Store, "", "lapse")
 	defer end()
 	for _, i := range f.allInstances() {
-		i.door.Set(standin.Cut)
+		i.door.SetFault(standin.ResetConnections)
 	}
 	sleep(ctx, length)
 	f.mu.Lock()
 	expired := slices.Clone(f.endpoints)
 	f.mu.Unlock()
 	for _, e := range expired {
-		e.Leave(f.store)
+		e.Deregister(f.store)
 	}
 	for _, i := range f.allInstances() {
-		i.door.Set(standin.Healthy)
+		i.door.SetFault(standin.Healthy)
 	}
 	sleep(ctx, 1500*time.Millisecond)
 	f.mu.Lock()
@@ -354,29 +354,29 @@
 
 // misbehave makes an endpoint answer incorrectly or slowly.
 func (f *Fleet) misbehave(ctx context.Context, s schedule.Step) {
-	n := s.How % len(misbehaviours())
+	n := s.Variant % len(misbehaviours())
 	b := misbehaviours()[n]
 	e := f.endpointFor(s.Target, b)
 	end := f.faults.Begin(timeline.Endpoint, e.ID, fmt.Sprint("misbehaviour ", n))
 	defer end()
-	e.Behave(b)
-	sleep(ctx, s.For)
-	e.Behave(normalBehaviour())
+	e.SetBehaviour(b)
+	sleep(ctx, s.Duration)
+	e.SetBehaviour(normalBehaviour())
 	sleep(ctx, recoveryTime)
 }
 
 // disruptLink makes the link to an endpoint faulty.
 func (f *Fleet) disruptLink(ctx context.Context, s schedule.Step) {
 	e := f.endpoint(s.Target)
-	faults := []link.Fault{link.Delayed, link.NoAnswers, link.Silent, link.Refused, link.Clean}
-	fault := faults[s.How%len(faults)]
+	faults := []link.Fault{link.Delayed, link.NoReplies, link.Silent, link.Refused, link.Clean}
+	fault := faults[s.Variant%len(faults)]
 	end := f.faults.Begin(timeline.Endpoint, e.ID, fmt.Sprint("link fault ", fault))
 	defer end()
 	e.link.Set(fault)
-	if fault == link.Clean || s.How%2 == 0 {
+	if fault == link.Clean || s.Variant%2 == 0 {
 		e.link.Reset()
 	}
-	sleep(ctx, s.For)
+	sleep(ctx, s.Duration)
 	e.link.Set(link.Clean)
 	sleep(ctx, recoveryTime)
 }
--- a/internal/soak/link/link.go
+++ b/internal/soak/link/link.go
@@ -19,7 +19,7 @@
 const (
 	Clean     Fault = iota
 	Delayed         // each chunk of data is delayed by Delay
-	NoAnswers       // data to the target passes, data from it is held back
+	NoReplies       // data to the target passes, data from it is held back
 	Silent          // data is held back in both directions; connections stay open
 	Refused         // connections are refused, as by a port without a listener
 )
@@ -89,8 +89,8 @@
 	go l.accept(listener)
 }
 
-// Aim sets the target of new connections, as when an address is reused by another process.
-func (l *Link) Aim(target netip.AddrPort) {
+// SetTarget sets the target of new connections, as when an address is reused by another process.
+func (l *Link) SetTarget(target netip.AddrPort) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.target = target
@@ -179,7 +179,7 @@
 		case fault == Delayed:
 			time.Sleep(Delay)
 			return
-		case fault == Silent, fault == NoAnswers && fromTarget:
+		case fault == Silent, fault == NoReplies && fromTarget:
 			<-changed
 		default:
 			return
--- a/internal/soak/program/program.go
+++ b/internal/soak/program/program.go
@@ -18,12 +18,12 @@
 
 // Program runs a program, one process at a time. Each start is a new incarnation.
 type Program struct {
-	File     string // path of the executable
-	Settings string // path of its settings file
-	Log      string // path of its log, to which all incarnations append
-	// Failed is called when a process exited without a signal to do so, or with an error
+	Executable string // path of the executable
+	Settings   string // path of its settings file
+	Log        string // path of its log, to which all incarnations append
+	// OnFailure is called when a process exited without a signal to do so, or with an error
 	// after SIGTERM if it had started.
-	Failed func(how error)
+	OnFailure func(how error)
 
 	mu        sync.Mutex
 	cmd       *exec.Cmd
@@ -76,11 +76,11 @@
 		_ = log.Close()
 		return err
 	}
-	cmd := exec.CommandContext(context.Background(), p.File, "gateway", "--settings", p.Settings)
+	cmd := exec.CommandContext(context.Background(), p.Executable, "gateway", "--settings", p.Settings)
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := start(cmd); err != nil {
 		_ = log.Close()
-		return fmt.Errorf("start %s: %w", p.File, err)
+		return fmt.Errorf("start %s: %w", p.Executable, err)
 	}
 	p.cmd, p.log, p.exited, p.signalled, p.logOffset = cmd, log, make(chan struct{}), 0, offset
 	p.starts++
@@ -97,7 +97,7 @@
 	signalled, offset := p.signalled, p.logOffset
 	p.mu.Unlock()
 	if signalled == 0 || signalled == syscall.SIGTERM && err != nil && p.hasStarted(offset) {
-		p.Failed(err)
+		p.OnFailure(err)
 	}
 	p.mu.Lock()
 	p.cmd = nil
@@ -133,8 +133,8 @@
 	return p.exited
 }
 
-// Over waits for the exit of a process, at most for timeout, and reports whether it exited.
-func Over(exited <-chan struct{}, timeout time.Duration) bool {
+// WaitExit waits for the exit of a process, at most for timeout, and reports whether it exited.
+func WaitExit(exited <-chan struct{}, timeout time.Duration) bool {
 	select {
 	case <-exited:
 		return true
@@ -143,8 +143,8 @@
 	}
 }
 
-// Life returns the number of starts so far.
-func (p *Program) Life() int {
+// Incarnation returns the number of starts so far.
+func (p *Program) Incarnation() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.starts
--- a/internal/soak/program/program_test.go
+++ b/internal/soak/program/program_test.go
@@ -45,7 +45,7 @@
 			}
 			c.Assert(os.WriteFile(file, []byte("#!/bin/sh\n"+script+"\n"), 0o700), qt.IsNil)
 			failed := 0
-			p := &program.Program{File: file, Log: filepath.Join(dir, "log"), Failed: func(error) { failed++ }}
+			p := &program.Program{Executable: file, Log: filepath.Join(dir, "log"), OnFailure: func(error) { failed++ }}
 			c.Assert(p.Start(), qt.IsNil)
 			for test.signals != nil && !exists(ready) {
 				time.Sleep(time.Millisecond)
@@ -54,7 +54,7 @@
 			for _, s := range test.signals {
 				p.Signal(s)
 			}
-			c.Assert(program.Over(exited, waitTimeout), qt.IsTrue)
+			c.Assert(program.WaitExit(exited, waitTimeout), qt.IsTrue)
 			c.Assert(failed, qt.Equals, test.failed)
 		})
 	}
@@ -67,16 +67,16 @@
 	dir := t.TempDir()
 	file := filepath.Join(dir, "script")
 	c.Assert(os.WriteFile(file, []byte("#!/bin/sh\nwhile :; do sleep 0.01; done\n"), 0o700), qt.IsNil)
-	p := &program.Program{File: file, Log: filepath.Join(dir, "log"), Failed: func(error) {}}
+	p := &program.Program{Executable: file, Log: filepath.Join(dir, "log"), OnFailure: func(error) {}}
 	c.Assert(p.Start(), qt.IsNil)
 	first := p.Signal(syscall.SIGKILL)
-	c.Assert(program.Over(first, waitTimeout), qt.IsTrue)
+	c.Assert(program.WaitExit(first, waitTimeout), qt.IsTrue)
 	c.Assert(p.Start(), qt.IsNil)
-	c.Assert(program.Over(first, waitTimeout), qt.IsTrue)
+	c.Assert(program.WaitExit(first, waitTimeout), qt.IsTrue)
 	second := p.Signal(syscall.SIGKILL)
 	c.Assert(second == first, qt.IsFalse)
-	c.Assert(program.Over(second, waitTimeout), qt.IsTrue)
-	c.Assert(program.Over(p.Signal(syscall.SIGKILL), waitTimeout), qt.IsTrue) // no process is running
+	c.Assert(program.WaitExit(second, waitTimeout), qt.IsTrue)
+	c.Assert(program.WaitExit(p.Signal(syscall.SIGKILL), waitTimeout), qt.IsTrue) // no process is running
 }
 
 func exists(path string) bool {
--- a/internal/soak/schedule/schedule.go
+++ b/internal/soak/schedule/schedule.go
@@ -13,12 +13,12 @@
 
 // Steps that affect instances.
 const (
-	Kill    Kind = "kill"     // kills an instance
-	KillAll Kind = "kill_all" // kills all instances at the same moment
-	Pause   Kind = "pause"    // stops the process of an instance by SIGSTOP for a time
-	Stop    Kind = "stop"     // stops an instance by SIGTERM
-	Roll    Kind = "roll"     // stops the instances of a zone one after the other
-	Hangup  Kind = "hangup"   // changes the settings of an instance, with or without SIGHUP
+	Kill           Kind = "kill"     // kills an instance
+	KillAll        Kind = "kill_all" // kills all instances at the same moment
+	Pause          Kind = "pause"    // stops the process of an instance by SIGSTOP for a time
+	Stop           Kind = "stop"     // stops an instance by SIGTERM
+	Roll           Kind = "roll"     // stops the instances of a zone one after the other
+	ChangeSettings Kind = "hangup"   // changes the settings of an instance, with or without SIGHUP
 )
 
 // Steps that affect the connections between instances.
@@ -31,11 +31,11 @@
 
 // Steps that affect the store.
 const (
-	DoorFault   Kind = "door_fault"   // the store fails one instance
-	StoreFault  Kind = "store_fault"  // the store fails all instances
-	StoreSlow   Kind = "store_slow"   // the store answers late
-	StoreForget Kind = "store_forget" // the store loses its history
-	Lapse       Kind = "lapse"        // the store is unavailable; entries of endpoints expire until shortly after its return
+	InstanceStoreFault Kind = "door_fault"   // the store fails one instance
+	StoreFault         Kind = "store_fault"  // the store fails all instances
+	StoreSlow          Kind = "store_slow"   // the store answers late
+	StoreForget        Kind = "store_forget" // the store loses its history
+	ExpireEntries      Kind = "lapse"        // the store is unavailable; entries of endpoints expire until shortly after its return
 )
 
 // Steps that affect endpoints.
@@ -45,7 +45,7 @@
 	Retire    Kind = "retire"    // an endpoint announces in its entry that it leaves, and leaves
 	Vanish    Kind = "vanish"    // an endpoint removes its entry and leaves
 	Misbehave Kind = "misbehave" // an endpoint answers incorrectly or slowly
-	LinkBad   Kind = "link_bad"  // the link to an endpoint is faulty
+	LinkFault Kind = "link_bad"  // the link to an endpoint is faulty
 )
 
 // Steps of the operators.
@@ -61,13 +61,13 @@
 	// An endpoint announces in its answers, but not yet in its entry, that it leaves.
 	Announce Kind = "announce"
 	// An endpoint rejects all requests and asks for a backoff.
-	Rest Kind = "rest"
+	Backoff Kind = "rest"
 	// An endpoint names a limit, in requests a second from all instances together.
 	Limit Kind = "limit"
 	// A zone is evacuated for a time.
 	Evacuate Kind = "evacuate"
 	// An endpoint is cold for a time.
-	Chill Kind = "chill"
+	Cold Kind = "chill"
 )
 
 // weights are the relative frequencies of the kinds drawn by New.
@@ -80,33 +80,33 @@
 	{Pause, 3},
 	{Stop, 4},
 	{Roll, 1},
-	{Hangup, 1},
+	{ChangeSettings, 1},
 	{PeersCut, 2},
 	{PeersOneWay, 2},
 	{PeersLossy, 2},
 	{ZoneCut, 2},
-	{DoorFault, 5},
+	{InstanceStoreFault, 5},
 	{StoreFault, 4},
 	{StoreSlow, 1},
 	{StoreForget, 2},
-	{Lapse, 1},
+	{ExpireEntries, 1},
 	{Crash, 4},
 	{Reuse, 1},
 	{Retire, 4},
 	{Vanish, 2},
 	{Misbehave, 7},
-	{LinkBad, 6},
+	{LinkFault, 6},
 	{Configure, 4},
 	{ConfigureStorm, 1},
 }
 
 // Step is one fault or operation.
 type Step struct {
-	At     time.Duration // from the start of the run
-	For    time.Duration // duration of the fault
-	Kind   Kind
-	Target int // index of the instance, zone or endpoint, modulo their number
-	How    int // index of the variant, modulo the number of variants
+	At       time.Duration // from the start of the run
+	Duration time.Duration // duration of the fault
+	Kind     Kind
+	Target   int // index of the instance, zone or endpoint, modulo their number
+	Variant  int // index of the variant, modulo the number of variants
 }
 
 const (
@@ -130,22 +130,22 @@
 	kinds  []Kind
 }{
 	{0xd1b54a32d192ed03, []Kind{Suspend, Poison}},
-	{0xaef17502108ef2d9, []Kind{Announce, Rest}},
+	{0xaef17502108ef2d9, []Kind{Announce, Backoff}},
 	{0x94d049bb133111eb, []Kind{Limit}},
-	{0xbf58476d1ce4e5b9, []Kind{Evacuate, Chill}},
+	{0xbf58476d1ce4e5b9, []Kind{Evacuate, Cold}},
 }
 
-// More draws additional steps of a run, independently of those of New.
-func More(seed uint64, length time.Duration) []Step {
+// Extra draws additional steps of a run, independently of those of New.
+func Extra(seed uint64, length time.Duration) []Step {
 	var steps []Step
 	for _, b := range extraStreams {
-		steps = Join(steps, drawExtra(seed, b.stream, length, b.kinds))
+		steps = Merge(steps, drawExtra(seed, b.stream, length, b.kinds))
 	}
 	return steps
 }
 
-// IsBeside reports whether a kind is drawn by More.
-func IsBeside(k Kind) bool {
+// IsExtra reports whether a kind is drawn by More.
+func IsExtra(k Kind) bool {
 	for _, b := range extraStreams {
 		if slices.Contains(b.kinds, k) {
 			return true
@@ -161,15 +161,15 @@
 	for at := initialDelay; at < length; at += time.Duration(r.ExpFloat64() * float64(meanExtraGap)) {
 		kind := kinds[r.IntN(len(kinds))]
 		steps = append(steps, Step{
-			At: at, For: maxDuration/10 + time.Duration(r.Float64()*float64(maxDuration)*0.9),
-			Kind: kind, Target: r.IntN(1 << 16), How: r.IntN(1 << 16),
+			At: at, Duration: maxDuration/10 + time.Duration(r.Float64()*float64(maxDuration)*0.9),
+			Kind: kind, Target: r.IntN(1 << 16), Variant: r.IntN(1 << 16),
 		})
 	}
 	return steps
 }
 
-// Join merges two lists of steps in the order of their times.
-func Join(a, b []Step) []Step {
+// Merge merges two lists of steps in the order of their times.
+func Merge(a, b []Step) []Step {
 	all := slices.Concat(a, b)
 	slices.SortStableFunc(all, func(a, b Step) int { return int(a.At - b.At) })
 	return all
@@ -188,8 +188,8 @@
 	}
 	for at := initialDelay; at < length; at += time.Duration(r.ExpFloat64() * float64(meanGap)) {
 		steps = append(steps, Step{
-			At: at, For: maxDuration/10 + time.Duration(r.Float64()*float64(maxDuration)*0.9),
-			Kind: kind, Target: r.IntN(1 << 16), How: r.IntN(1 << 16),
+			At: at, Duration: maxDuration/10 + time.Duration(r.Float64()*float64(maxDuration)*0.9),
+			Kind: kind, Target: r.IntN(1 << 16), Variant: r.IntN(1 << 16),
 		})
 		if r.Float64() > repeatRatio {
 			kind = draw(r)
--- a/internal/soak/schedule/schedule_test.go
+++ b/internal/soak/schedule/schedule_test.go
@@ -17,17 +17,17 @@
 	for seed := range uint64(40) {
 		for _, s := range schedule.New(seed, 20*time.Second, "") {
 			kinds[s.Kind] = true
-			c.Assert(s.At < 20*time.Second && s.For > 0, qt.IsTrue)
+			c.Assert(s.At < 20*time.Second && s.Duration > 0, qt.IsTrue)
 		}
 	}
 	c.Assert(kinds, qt.HasLen, 23)
-	more := schedule.More(7, time.Minute)
-	c.Assert(more, qt.DeepEquals, schedule.More(7, time.Minute))
+	more := schedule.Extra(7, time.Minute)
+	c.Assert(more, qt.DeepEquals, schedule.Extra(7, time.Minute))
 	for _, s := range more {
 		kinds[s.Kind] = true
 	}
 	c.Assert(kinds, qt.HasLen, 30)
-	c.Assert(schedule.Join(schedule.New(7, time.Minute, ""), more), qt.HasLen, len(schedule.New(7, time.Minute, ""))+len(more))
+	c.Assert(schedule.Merge(schedule.New(7, time.Minute, ""), more), qt.HasLen, len(schedule.New(7, time.Minute, ""))+len(more))
 	for _, s := range schedule.New(7, time.Minute, schedule.Retire) {
 		c.Assert(s.Kind, qt.Equals, schedule.Retire)
 	}
--- a/internal/soak/timeline/timeline.go
+++ b/internal/soak/timeline/timeline.go
@@ -14,13 +14,13 @@
 
 // Scopes of faults.
 const (
-	Process  Scope = "process"  // an instance is killed, paused, suspended or starting
-	Planned  Scope = "planned"  // an instance is stopping after SIGTERM
-	Peers    Scope = "peers"    // the connections between instances
-	Store    Scope = "store"    // the store, for all instances
-	Door     Scope = "door"     // the store, for one instance
-	Endpoint Scope = "endpoint" // an endpoint or the link to it
-	Load     Scope = "load"     // an endpoint rejects requests and asks for a backoff
+	Process       Scope = "process"  // an instance is killed, paused, suspended or starting
+	Planned       Scope = "planned"  // an instance is stopping after SIGTERM
+	Peers         Scope = "peers"    // the connections between instances
+	Store         Scope = "store"    // the store, for all instances
+	InstanceStore Scope = "door"     // the store, for one instance
+	Endpoint      Scope = "endpoint" // an endpoint or the link to it
+	Load          Scope = "load"     // an endpoint rejects requests and asks for a backoff
 )
 
 // Fault is one fault.
@@ -53,10 +53,10 @@
 	}
 }
 
-// Calm reports whether no fault of the scopes affected a target between two moments. Faults
-// without a target affect all targets. With an empty target, Calm considers the faults of
+// Undisturbed reports whether no fault of the scopes affected a target between two moments. Faults
+// without a target affect all targets. With an empty target, Undisturbed considers the faults of
 // all targets.
-func (t *Timeline) Calm(from, to time.Time, target string, scopes ...Scope) bool {
+func (t *Timeline) Undisturbed(from, to time.Time, target string, scopes ...Scope) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, f := range t.faults {
@@ -75,9 +75,9 @@
 	return true
 }
 
-// Around formats the faults in force at any time between two moments, one a line, for the
+// Describe formats the faults in force at any time between two moments, one a line, for the
 // report of a violation. Their times are relative to from.
-func (t *Timeline) Around(from, to time.Time) string {
+func (t *Timeline) Describe(from, to time.Time) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var text strings.Builder
--- a/internal/staging/policy.go
+++ b/internal/staging/policy.go
@@ -80,8 +80,8 @@
 type Order struct {
 	Endpoint *directory.Endpoint
 	Stage    directory.Stage
-	Wanted   float64 // target number of prefill engines of the service
-	Present  int     // current number, with pending orders counted as carried out
+	Target   float64 // target number of prefill engines of the service
+	Current  int     // current number, with pending orders counted as carried out
 }
 
 // Policy decides on orders. It is not safe for concurrent use.
@@ -116,7 +116,7 @@
 		zones, total, changingCount := p.groupByZone(now, v.Service(name))
 		most := max(int(maxChangingFraction*float64(total)), 1) - changingCount
 		for _, o := range chooseOrders(zones, prefillShare(s, service, paces), s.uncertainty(), most) {
-			p.pending[o.Endpoint.ID] = pendingOrder{stage: o.Stage, until: now.Add(service.Engine.Switch() + orderSlack)}
+			p.pending[o.Endpoint.ID] = pendingOrder{stage: o.Stage, until: now.Add(service.Engine.StageChangeTime() + orderSlack)}
 			orders = append(orders, o)
 		}
 	}
@@ -128,13 +128,13 @@
 // into its memory and its slots.
 func prefillShare(s Sizes, service *route.Service, paces *pace.Model) float64 {
 	e := service.Engine
-	read := prefillCapacityFactor * paces.Likely(pace.Turn, service.Name, pace.AnyEngine, int(s.Prompt)).Seconds()
+	read := prefillCapacityFactor * paces.Median(pace.PrefillInterval, service.Name, pace.AnyEngine, int(s.Prompt)).Seconds()
 	concurrent := float64(max(e.KVTokens, 1)) / max(s.Prompt+s.Output/2, 1)
 	if e.Slots > 0 {
 		concurrent = min(concurrent, float64(e.Slots))
 	}
 	concurrent = max(concurrent, 1)
-	decode := s.Output * paces.Step(service.Name, pace.AnyEngine, int(concurrent)).Seconds() / concurrent
+	decode := s.Output * paces.TokenTime(service.Name, pace.AnyEngine, int(concurrent)).Seconds() / concurrent
 	if read+decode == 0 {
 		return 0.5
 	}
@@ -168,7 +168,7 @@
 	}
 	var orders []Order
 	for len(orders) < most {
-		o := Order{Wanted: target, Present: prefill}
+		o := Order{Target: target, Current: prefill}
 		switch deviation := float64(prefill) - target; {
 		case deviation >= minDeviation+margin:
 			o.Endpoint, o.Stage = switchToDecode(zones), directory.Decode
@@ -191,7 +191,7 @@
 	byName := map[string]*zone{}
 	for e := range engines {
 		total++
-		if e.State != directory.Ready || e.Stage == directory.Whole {
+		if e.State != directory.Ready || e.Stage == directory.Combined {
 			continue
 		}
 		z := byName[e.Zone]
--- a/internal/staging/policy_test.go
+++ b/internal/staging/policy_test.go
@@ -16,7 +16,7 @@
 )
 
 // figures are the prior timings of the engines in these tests.
-var figures = pace.Prior{ReadToken: 23400 * time.Nanosecond, Step: 4500 * time.Microsecond}
+var figures = pace.Prior{PrefillToken: 23400 * time.Nanosecond, TokenTime: 4500 * time.Microsecond}
 
 // engines returns a view with the given numbers of prefill and decode engines per zone.
 func engines(zones ...[2]int) *directory.View {
--- a/internal/staging/runner.go
+++ b/internal/staging/runner.go
@@ -29,12 +29,12 @@
 	Leadership *leadership.Leadership
 	// Send sends an order with the leader's name and fencing token.
 	Send func(ctx context.Context, o Order, holder string, fence int64) error
-	// Spared reports whether an engine must be avoided now, so that it gets no order.
-	Spared func(ctx context.Context, e *directory.Endpoint) bool
-	// Closed is called for an engine that accepts no requests until it has changed.
-	Closed func(o Order)
-	Log    *eventlog.Log
-	Scope  tally.Scope
+	// Avoid reports whether an engine must be avoided now, so that it gets no order.
+	Avoid func(ctx context.Context, e *directory.Endpoint) bool
+	// StageChanging is called for an engine that accepts no requests until it has changed.
+	StageChanging func(o Order)
+	Log           *eventlog.Log
+	Scope         tally.Scope
 	// Paces is the model of engine timings.
 	Paces *pace.Model
 	Now   func() clock.Millis
@@ -43,8 +43,8 @@
 	sizes map[string]Sizes
 }
 
-// Saw adds the sizes of a request.
-func (r *Runner) Saw(service string, prompt, output int) {
+// AddRequest adds the sizes of a request.
+func (r *Runner) AddRequest(service string, prompt, output int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.sizes == nil {
@@ -78,7 +78,7 @@
 func (r *Runner) send(ctx context.Context, policy *Policy, orders []Order, fence int64) {
 	var group sync.WaitGroup
 	for _, o := range orders {
-		if r.Spared(ctx, o.Endpoint) {
+		if r.Avoid(ctx, o.Endpoint) {
 			r.Scope.Counter("orders_put_off").Inc(1)
 			policy.Withdraw(o)
 			continue
@@ -90,11 +90,11 @@
 
 // sendOrder sends one order and logs it.
 func (r *Runner) sendOrder(ctx context.Context, o Order, fence int64) {
-	r.Closed(o)
+	r.StageChanging(o)
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	err := r.Send(ctx, o, r.Leadership.Name, fence)
-	n := eventlog.Line{Event: eventlog.Ordered, Endpoint: o.Endpoint.ID, Service: o.Endpoint.Service, Zone: o.Endpoint.Zone, Outcome: stageName(o.Stage), Revision: fence, Count: int64(o.Present)}
+	n := eventlog.Line{Event: eventlog.Ordered, Endpoint: o.Endpoint.ID, Service: o.Endpoint.Service, Zone: o.Endpoint.Zone, Outcome: stageName(o.Stage), Revision: fence, Count: int64(o.Current)}
 	if err != nil {
 		n.Detail = err.Error()
 		r.Scope.Counter("orders_failed").Inc(1)
--- a/internal/staging/runner_test.go
+++ b/internal/staging/runner_test.go
@@ -21,9 +21,9 @@
 		log := eventlog.Open(io.Discard, "n1")
 		r := &Runner{
 			Leadership: &leadership.Leadership{Name: "n1"}, Log: log, Scope: tally.NoopScope,
-			Spared: func(context.Context, *directory.Endpoint) bool { return spared },
-			Closed: func(Order) { closed++ },
-			Send:   func(context.Context, Order, string, int64) error { sent++; return nil },
+			Avoid:         func(context.Context, *directory.Endpoint) bool { return spared },
+			StageChanging: func(Order) { closed++ },
+			Send:          func(context.Context, Order, string, int64) error { sent++; return nil },
 		}
 		o := Order{Endpoint: &directory.Endpoint{ID: "p1"}, Stage: directory.Decode}
 		p := NewPolicy()
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -71,7 +71,7 @@
 	CrashOn        string  `json:"crash_on"`        // calls Crash when it starts a call whose body contains this
 	Leaving        bool    `json:"leaving"`         // all responses announce that it is leaving
 	Limit          float64 `json:"limit"`           // all responses state this limit of work requests a second; 0: none
-	Rest           float64 `json:"rest"`            // work requests are refused, with a Retry-After of this many seconds
+	RetryAfter     float64 `json:"rest"`            // work requests are refused, with a Retry-After of this many seconds
 }
 
 // Run is an attempt that an engine started to execute.
@@ -172,7 +172,7 @@
 	return func(w http.ResponseWriter, r *http.Request) {
 		e.mu.Lock()
 		e.workRequests++
-		retryAfter := e.faults.Rest
+		retryAfter := e.faults.RetryAfter
 		e.mu.Unlock()
 		if retryAfter == 0 {
 			next(w, r)
@@ -184,8 +184,8 @@
 	}
 }
 
-// Asked returns the number of work requests received.
-func (e *Engine) Asked() int {
+// WorkRequests returns the number of work requests received.
+func (e *Engine) WorkRequests() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.workRequests
@@ -210,16 +210,16 @@
 }
 
 // Held returns the attempts that hold memory.
-func (e *Engine) Held() []endpoint.Held {
+func (e *Engine) Held() []endpoint.HeldAttempt {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.held()
 }
 
-func (e *Engine) held() []endpoint.Held {
-	held := make([]endpoint.Held, 0, len(e.jobs))
+func (e *Engine) held() []endpoint.HeldAttempt {
+	held := make([]endpoint.HeldAttempt, 0, len(e.jobs))
 	for _, j := range e.jobs {
-		held = append(held, endpoint.Held{Attempt: j.attempt, Phase: j.phase})
+		held = append(held, endpoint.HeldAttempt{Attempt: j.attempt, Phase: j.phase})
 	}
 	return held
 }
@@ -249,7 +249,7 @@
 }
 
 func (e *Engine) cancel(w http.ResponseWriter, r *http.Request) {
-	var h endpoint.Held
+	var h endpoint.HeldAttempt
 	if json.NewDecoder(r.Body).Decode(&h) != nil {
 		http.Error(w, "malformed", http.StatusBadRequest)
 		return
--- a/internal/standin/peers/peers.go
+++ b/internal/standin/peers/peers.go
@@ -25,7 +25,7 @@
 	identity, err := peer.NewIdentity(name)
 	qt.Assert(t, err, qt.IsNil)
 	acceptAny := func(string) (string, bool) { return otherInstance[name], true }
-	transport, err = peer.Listen(name, netip.MustParseAddrPort("127.0.0.1:0"), peer.Pinned(identity, acceptAny), tally.NoopScope)
+	transport, err = peer.Listen(name, netip.MustParseAddrPort("127.0.0.1:0"), peer.PinnedTLS(identity, acceptAny), tally.NoopScope)
 	qt.Assert(t, err, qt.IsNil)
 	t.Cleanup(func() { _ = transport.Close() }) // the error is ignored, as the router that subscribes through it may have closed it
 	return transport, identity.Fingerprint
--- a/internal/standin/record/record.go
+++ b/internal/standin/record/record.go
@@ -96,9 +96,9 @@
 	}
 }
 
-// Make generates a trace of the given duration in seconds, at a multiple of the
+// Generate generates a trace of the given duration in seconds, at a multiple of the
 // workload's rate.
-func (w Workload) Make(seconds, scale float64, seed uint64) *trace.Trace {
+func (w Workload) Generate(seconds, scale float64, seed uint64) *trace.Trace {
 	random := rand.New(rand.NewPCG(seed, 1))
 	t := &trace.Trace{Header: trace.Header{Name: w.Name, Classes: w.Classes}}
 	for _, k := range w.Kinds {
@@ -135,7 +135,7 @@
 	if k.NotIdempotent {
 		r.Key = fmt.Sprintf("%s-%d", k.Name, r.Seed)
 		if random.Float64() < repeatRatio {
-			r.AgainMS = 1 + random.Int64N(1500)
+			r.RepeatAfterMS = 1 + random.Int64N(1500)
 		}
 	}
 	if k.Service != "" {
@@ -144,11 +144,11 @@
 	}
 	r.Prefix, r.PrefixTokens = ws.Name+" "+k.Name+" instructions", k.PrefixTokens
 	r.Tokens = randomLength(random, k.PromptTokens)
-	r.Out = randomLength(random, k.OutputTokens)
+	r.OutputTokens = randomLength(random, k.OutputTokens)
 	if random.Float64() < cancelRatio {
-		r.CancelMS = 50 + random.Int64N(2000)
+		r.CancelAfterMS = 50 + random.Int64N(2000)
 	}
-	r.Digest = trace.DigestOf(strings.Join(engine.Answer(r.Prompt(), r.Out), ""))
+	r.Digest = trace.DigestOf(strings.Join(engine.Answer(r.Prompt(), r.OutputTokens), ""))
 	return r
 }
 
--- a/internal/standin/seed/seed.go
+++ b/internal/standin/seed/seed.go
@@ -15,10 +15,10 @@
 
 // Main runs a package's tests with a fixed seed for rapid. It is called from TestMain
 // of packages that import rapid.
-func Main(m *testing.M) int { return MainOf(m, defaultChecks) }
+func Main(m *testing.M) int { return MainWithChecks(m, defaultChecks) }
 
-// MainOf is Main with a number of checks, for packages whose checks take longer.
-func MainOf(m *testing.M, checks int) int {
+// MainWithChecks is Main with a number of checks, for packages whose checks take longer.
+func MainWithChecks(m *testing.M, checks int) int {
 	flag.Parse()
 	set("rapid.seed", "TRAILSHED_SEED", "20261202")
 	set("rapid.checks", "TRAILSHED_CHECKS", strconv.Itoa(checks))
--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -91,8 +91,8 @@
 	e.Crash = func() { s.crash(name) }
 }
 
-// StartAgain restarts a crashed endpoint at its previous address.
-func (s *Site) StartAgain(name string) error {
+// RestartEngine restarts a crashed endpoint at its previous address.
+func (s *Site) RestartEngine(name string) error {
 	l, err := net.Listen("tcp", s.addresses[name]) //nolint:noctx // closed with the site
 	if err != nil {
 		return err
@@ -169,20 +169,20 @@
 // Peers returns the address at which other nodes connect to this one.
 func (n *Node) Peers() netip.AddrPort { return n.peers }
 
-// Cut drops the messages between the given nodes and all others. Without arguments it
+// Partition drops the messages between the given nodes and all others. Without arguments it
 // ends the partition.
-func (s *Site) Cut(group ...*Node) {
+func (s *Site) Partition(group ...*Node) {
 	for _, n := range s.Nodes {
 		inside := slices.Contains(group, n)
-		n.running.Cut(func(to netip.AddrPort) bool {
+		n.running.Partition(func(to netip.AddrPort) bool {
 			i := slices.IndexFunc(s.Nodes, func(o *Node) bool { return o.peers == to })
 			return i >= 0 && slices.Contains(group, s.Nodes[i]) != inside
 		})
 	}
 }
 
-// Leave starts stopping the node and does not wait.
-func (n *Node) Leave() { n.stop() }
+// BeginStop starts stopping the node and does not wait.
+func (n *Node) BeginStop() { n.stop() }
 
 // Stop stops the node and waits until it has stopped.
 func (n *Node) Stop() {
--- a/internal/suspects/suspects.go
+++ b/internal/suspects/suspects.go
@@ -70,13 +70,13 @@
 	Read func(ctx context.Context, work quarantine.Fingerprint) (quarantine.Stored, error)
 }
 
-// News is a listing of the store's records or a batch of changes to them.
-type News struct {
+// StoreUpdate is a listing of the store's records or a batch of changes to them.
+type StoreUpdate struct {
 	Records  []quarantine.Stored
-	Released []quarantine.Release
+	Released []quarantine.Removal
 	Complete bool // Records is a full listing as of Revision
 	Revision int64
-	Problems []error // records that could not be read
+	Errors   []error // records that could not be read
 }
 
 // Options configures Suspects.
@@ -91,10 +91,10 @@
 	Peers func() []Peer
 	// Watching reports whether this instance watches the store for its zone.
 	Watching func() bool
-	// Held is called for each changed record of a request that is held or was cleared.
-	Held func(r quarantine.Record)
-	// Unreadable is called for each record of the store that cannot be decoded.
-	Unreadable func(err error, revision int64)
+	// OnHeldChange is called for each changed record of a request that is held or was cleared.
+	OnHeldChange func(r quarantine.Record)
+	// OnUnreadable is called for each record of the store that cannot be decoded.
+	OnUnreadable func(err error, revision int64)
 }
 
 // Peer identifies an instance and its address.
@@ -142,13 +142,13 @@
 			s.send(s.zonePeers(), updated, false)
 		}
 	})
-	peer.Answer(r, s.Transport, topicCompare, func(_ context.Context, _ peer.Sender, q compareRequest) recordsMessage {
+	peer.HandleCall(r, s.Transport, topicCompare, func(_ context.Context, _ peer.Sender, q compareRequest) recordsMessage {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.table.Digest() == q.Digest {
 			return recordsMessage{}
 		}
-		return recordsMessage{Records: s.table.Firm(maxMessageRecords), Differs: true}
+		return recordsMessage{Records: s.table.Settled(maxMessageRecords), Differs: true}
 	})
 }
 
@@ -162,17 +162,17 @@
 	return s.table.Holds(w)
 }
 
-// Ended records that an endpoint ended while it ran a request. Other instances are
+// RecordEnd records that an endpoint ended while it ran a request. Other instances are
 // notified after endWindow, unless many endpoints ended together. They are notified at
 // once if the request ran at two of the endpoints that ended.
-func (s *Suspects) Ended(w quarantine.Work, endpoint string) {
+func (s *Suspects) RecordEnd(w quarantine.Work, endpoint string) {
 	end := quarantine.NewEnd(w, endpoint)
 	s.mu.Lock()
 	if len(s.ends) == 0 {
 		time.AfterFunc(endWindow, s.attributeEnds)
 	}
 	s.ends = append(s.ends, end)
-	twice := quarantine.Twice(s.ends, end)
+	twice := quarantine.EndedElsewhere(s.ends, end)
 	s.mu.Unlock()
 	if twice {
 		s.attributeEnds()
@@ -186,8 +186,8 @@
 	s.mu.Lock()
 	ends := s.ends
 	s.ends = nil
-	for _, e := range quarantine.Blamed(ends) {
-		if r, changed := s.table.Blame(s.Now(), e); changed {
+	for _, e := range quarantine.Attributable(ends) {
+		if r, changed := s.table.AddEnd(s.Now(), e); changed {
 			updated = append(updated, r)
 		}
 	}
@@ -195,11 +195,11 @@
 	s.announce(updated)
 }
 
-// Completed records that a request ran to completion. If it was suspected, other
+// RecordCompletion records that a request ran to completion. If it was suspected, other
 // instances are notified.
-func (s *Suspects) Completed(w quarantine.Work) {
+func (s *Suspects) RecordCompletion(w quarantine.Work) {
 	s.mu.Lock()
-	r, changed := s.table.Completed(s.Now(), w)
+	r, changed := s.table.RecordCompletion(s.Now(), w)
 	s.mu.Unlock()
 	if changed {
 		s.announce([]quarantine.Record{r})
@@ -221,7 +221,7 @@
 	var updated []quarantine.Record
 	s.mu.Lock()
 	for _, r := range list {
-		if merged, changed := s.table.Take(s.Now(), r); changed {
+		if merged, changed := s.table.Merge(s.Now(), r); changed {
 			updated = append(updated, merged)
 		}
 	}
@@ -230,9 +230,9 @@
 	return updated
 }
 
-// TakeStored applies an update from the store. Changes are sent to the zone, because
+// ApplyStored applies an update from the store. Changes are sent to the zone, because
 // only some of its instances watch the store.
-func (s *Suspects) TakeStored(n News) {
+func (s *Suspects) ApplyStored(n StoreUpdate) {
 	var updated []quarantine.Record
 	s.mu.Lock()
 	now := s.Now()
@@ -241,18 +241,18 @@
 		released = append(released, s.table.Missing(n.Records, n.Revision)...)
 	}
 	for _, stored := range n.Records {
-		if r, changed := s.table.Saved(now, stored); changed {
+		if r, changed := s.table.MergeStored(now, stored); changed {
 			updated = append(updated, r)
 		}
 	}
 	for _, l := range released {
-		if r, changed := s.table.Released(now, l); changed {
+		if r, changed := s.table.ApplyRemoval(now, l); changed {
 			updated = append(updated, r)
 		}
 	}
 	s.mu.Unlock()
-	for _, err := range n.Problems {
-		s.Unreadable(err, n.Revision)
+	for _, err := range n.Errors {
+		s.OnUnreadable(err, n.Revision)
 	}
 	s.report(updated)
 	s.send(s.zonePeers(), updated, false)
@@ -283,7 +283,7 @@
 	go func() { // an unresponsive peer must not block Run
 		ctx, cancel := context.WithTimeout(ctx, compareTimeout)
 		defer cancel()
-		answer, err := peer.Ask[compareRequest, recordsMessage](ctx, s.Transport, other, topicCompare, q)
+		answer, err := peer.Call[compareRequest, recordsMessage](ctx, s.Transport, other, topicCompare, q)
 		if err != nil {
 			s.Scope.Counter("suspects_unanswered").Inc(1)
 			return
@@ -309,7 +309,7 @@
 	}
 	s.mu.Lock()
 	var lacking []quarantine.Record
-	for _, r := range s.table.Firm(maxMessageRecords) {
+	for _, r := range s.table.Settled(maxMessageRecords) {
 		if r.Held() && !theirs[r.Work] {
 			lacking = append(lacking, r)
 		}
@@ -338,7 +338,7 @@
 	s.mu.Lock()
 	expired := s.table.Expire(now)
 	unsaved := s.table.Unsaved(now, watching, saveDelay)
-	unneeded := s.table.Unneeded()
+	unneeded := s.table.Obsolete()
 	s.mu.Unlock()
 	if !watching {
 		unneeded = nil // an instance that watches the store removes them
@@ -356,7 +356,7 @@
 			return
 		}
 		s.mu.Lock()
-		s.table.Released(now, l)
+		s.table.ApplyRemoval(now, l)
 		s.mu.Unlock()
 	}
 }
@@ -373,7 +373,7 @@
 		return false
 	}
 	s.mu.Lock()
-	s.table.Saved(s.Now(), stored)
+	s.table.MergeStored(s.Now(), stored)
 	s.mu.Unlock()
 	return true
 }
@@ -391,7 +391,7 @@
 	s.mu.Unlock()
 	for _, r := range updated {
 		if r.Held() || len(r.Ended) == 0 {
-			s.Held(r)
+			s.OnHeldChange(r)
 		}
 	}
 	s.Scope.Gauge("requests_held").Update(float64(held))
--- a/internal/suspects/suspects_test.go
+++ b/internal/suspects/suspects_test.go
@@ -76,10 +76,10 @@
 }
 
 // listing returns a full listing of the store.
-func (s *store) listing() suspects.News {
+func (s *store) listing() suspects.StoreUpdate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	update := suspects.News{Complete: true, Revision: s.rev}
+	update := suspects.StoreUpdate{Complete: true, Revision: s.rev}
 	for _, r := range s.records {
 		update.Records = append(update.Records, r)
 	}
@@ -116,12 +116,12 @@
 func (f *fleet) start(name string) {
 	qt.Assert(f.t, f.ca.Issue(name), qt.IsNil)
 	file := filepath.Join(f.dir, name)
-	tls, err := peer.Certificates(filepath.Join(f.dir, "ca.pem"), file+".pem", file+".key")
+	tls, err := peer.LoadTLS(filepath.Join(f.dir, "ca.pem"), file+".pem", file+".key")
 	qt.Assert(f.t, err, qt.IsNil)
 	transport, err := peer.Listen(name, netip.MustParseAddrPort("127.0.0.1:0"), tls, tally.NoopScope)
 	qt.Assert(f.t, err, qt.IsNil)
 	self := suspects.Peer{Name: name, Zone: name[:1], Address: transport.Address()}
-	transport.Cut(func(to netip.AddrPort) bool {
+	transport.Partition(func(to netip.AddrPort) bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		return f.partitioned[to] != f.partitioned[self.Address]
@@ -136,9 +136,9 @@
 			defer f.mu.Unlock()
 			return append([]suspects.Peer(nil), f.all...)
 		},
-		Watching:   func() bool { return name[1:] != "3" },
-		Held:       func(quarantine.Record) {},
-		Unreadable: func(error, int64) {},
+		Watching:     func() bool { return name[1:] != "3" },
+		OnHeldChange: func(quarantine.Record) {},
+		OnUnreadable: func(error, int64) {},
 	})
 	router, err := message.NewRouter(message.RouterConfig{}, watermill.NopLogger{})
 	qt.Assert(f.t, err, qt.IsNil)
@@ -193,8 +193,8 @@
 // and its record is saved.
 func TestEndsInTwoZones(t *testing.T) {
 	f := newFleet(t)
-	f.nodes["a3"].Ended(poison, "e1")
-	f.nodes["b3"].Ended(poison, "e2")
+	f.nodes["a3"].RecordEnd(poison, "e1")
+	f.nodes["b3"].RecordEnd(poison, "e2")
 	f.eventually("all hold it", f.heldBy(poison, all()...))
 	f.eventually("it is stored", func() bool { return f.store.count() == 1 })
 }
@@ -205,8 +205,8 @@
 	f := newFleet(t)
 	f.store.setUnavailable(true)
 	f.isolate("a")
-	f.nodes["a3"].Ended(poison, "e1")
-	f.nodes["a1"].Ended(poison, "e2")
+	f.nodes["a3"].RecordEnd(poison, "e1")
+	f.nodes["a1"].RecordEnd(poison, "e2")
 	f.eventually("its own zone holds it", f.heldBy(poison, "a1", "a2", "a3"))
 	qt.Assert(t, f.nodes["b1"].Holds(poison), qt.IsFalse)
 	f.isolate("")
@@ -218,14 +218,14 @@
 // A request that completes is cleared at all instances and removed from the store.
 func TestClearedEverywhere(t *testing.T) {
 	f := newFleet(t)
-	f.nodes["a1"].Ended(poison, "e1")
-	f.nodes["a1"].Ended(poison, "e2")
+	f.nodes["a1"].RecordEnd(poison, "e1")
+	f.nodes["a1"].RecordEnd(poison, "e2")
 	f.eventually("all hold it", f.heldBy(poison, all()...))
 	f.eventually("it is stored", func() bool { return f.store.count() == 1 })
 	for _, n := range f.nodes {
-		n.TakeStored(f.store.listing())
+		n.ApplyStored(f.store.listing())
 	}
-	f.nodes["b2"].Completed(poison) // it was already running there
+	f.nodes["b2"].RecordCompletion(poison) // it was already running there
 	f.eventually("no instance holds it", func() bool {
 		for _, n := range f.nodes {
 			if n.Holds(poison) {
@@ -241,16 +241,16 @@
 // store is unavailable.
 func TestStartingInstances(t *testing.T) {
 	f := newFleet(t)
-	f.nodes["a1"].Ended(poison, "e1")
-	f.nodes["a1"].Ended(poison, "e2")
+	f.nodes["a1"].RecordEnd(poison, "e1")
+	f.nodes["a1"].RecordEnd(poison, "e2")
 	f.eventually("it is stored", func() bool { return f.store.count() == 1 })
 	f.start("a4") // receives nothing from the store
 	f.eventually("its zone informs it", f.heldBy(poison, "a4"))
 	f.isolate("b")
 	f.start("c1") // the only instance of its zone
-	f.nodes["c1"].TakeStored(f.store.listing())
+	f.nodes["c1"].ApplyStored(f.store.listing())
 	qt.Assert(t, f.nodes["c1"].Holds(poison), qt.IsTrue)
 	// An operator removes the record.
-	f.nodes["c1"].TakeStored(suspects.News{Released: []quarantine.Release{{Work: poison.Fingerprint(), Revision: 9}}})
+	f.nodes["c1"].ApplyStored(suspects.StoreUpdate{Released: []quarantine.Removal{{Work: poison.Fingerprint(), Revision: 9}}})
 	qt.Assert(t, f.nodes["c1"].Holds(poison), qt.IsFalse)
 }
--- a/internal/suspension/suspension.go
+++ b/internal/suspension/suspension.go
@@ -24,10 +24,10 @@
 
 // Watch calls do after each suspension, with its length, until ctx ends.
 func Watch(ctx context.Context, c *clock.Clock, do func(slept time.Duration)) {
-	seen := c.Slept()
+	seen := c.Suspended()
 	ticker.Every(ctx, pollInterval, func() {
 		c.Now() // updates Slept
-		slept := c.Slept()
+		slept := c.Suspended()
 		if slept-seen >= minSuspension {
 			do(slept - seen)
 			seen = slept
--- a/internal/throttle/loans.go
+++ b/internal/throttle/loans.go
@@ -12,14 +12,14 @@
 // tick renews this instance's loans while there are limits. Without limits it only
 // queries once whether there are any.
 func (t *Throttle) tick(ctx context.Context) {
-	now, storeDown := t.Now(), t.StoreAway()
+	now, storeDown := t.Now(), t.StoreUnreachable()
 	t.mu.Lock()
 	if !storeDown {
 		t.storeTime += tickInterval
 	}
 	t.updateCount(now)
 	t.table.Expire(now)
-	t.issuer.Keep(t.table.Binds)
+	t.issuer.Retain(t.table.IsLimited)
 	t.expire(now)
 	active := !t.table.Empty()
 	t.active.Store(active)
@@ -36,7 +36,7 @@
 	}
 	if first.Name != t.Name {
 		t.mu.Lock()
-		own := t.issuer.Own(now)
+		own := t.issuer.OwnLoan(now)
 		t.mu.Unlock()
 		t.lend(ctx, first, own)
 		return
@@ -65,7 +65,7 @@
 // store before it had seen all others would otherwise take a whole limit for its own
 // share. The caller holds the lock.
 func (t *Throttle) updateCount(now clock.Millis) {
-	t.issuer.Count(now, t.Roster.Size(), t.storeTime >= discoveryTime)
+	t.issuer.SetInstances(now, t.Roster.Size(), t.storeTime >= discoveryTime)
 }
 
 // probe sends probes to unresponsive instances that rank before the first responsive
@@ -97,7 +97,7 @@
 			continue
 		}
 		t.mu.Lock()
-		l := t.issuer.OnLoan(t.Now(), zone)
+		l := t.issuer.CrossZoneLoan(t.Now(), zone)
 		t.mu.Unlock()
 		t.lend(ctx, first, l)
 	}
@@ -106,7 +106,7 @@
 // lend lends shares to an instance. A loan that another instance still holds is
 // recalled first.
 func (t *Throttle) lend(ctx context.Context, to roster.Instance, l permit.Loan) {
-	if l.Parts == 0 {
+	if l.Shares == 0 {
 		return
 	}
 	now := t.Now()
@@ -158,7 +158,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, loanTimeout)
 		defer cancel()
-		v, err := peer.Ask[loan, limitsMessage](ctx, t.Transport, to.Address, topicLoan, m)
+		v, err := peer.Call[loan, limitsMessage](ctx, t.Transport, to.Address, topicLoan, m)
 		t.mu.Lock()
 		delete(t.pendingLoans, to.Name)
 		if err == nil {
@@ -182,7 +182,7 @@
 // expire removes outdated state. The caller holds the lock.
 func (t *Throttle) expire(now clock.Millis) {
 	for endpoint, d := range t.denials {
-		if !t.table.Binds(endpoint) || d.left(now, lowestPriority) <= 0 {
+		if !t.table.IsLimited(endpoint) || d.left(now, lowestPriority) <= 0 {
 			delete(t.denials, endpoint)
 		}
 	}
--- a/internal/throttle/peers.go
+++ b/internal/throttle/peers.go
@@ -33,7 +33,7 @@
 // remoteForwarders returns the addresses of the forwarders of the other zones.
 func (t *Throttle) remoteForwarders() []netip.AddrPort {
 	var list []netip.AddrPort
-	for _, i := range t.Roster.FirstOfOthers(t.Zone, roleIssuer, forwardersPerZone) {
+	for _, i := range t.Roster.FirstOfOtherZones(t.Zone, roleIssuer, forwardersPerZone) {
 		list = append(list, i.Address)
 	}
 	return list
@@ -47,7 +47,7 @@
 // limitLine returns the log line for a limit.
 func limitLine(s ratelimit.Statement) eventlog.Line {
 	line := eventlog.Line{Event: eventlog.EndpointLimited, Endpoint: s.Endpoint, Zone: s.Zone, Outcome: "limited"}
-	if s.Over {
+	if s.Lifted {
 		line.Outcome = "unlimited"
 		return line
 	}
--- a/internal/throttle/permits.go
+++ b/internal/throttle/permits.go
@@ -30,11 +30,11 @@
 	if left > 0 {
 		return left
 	}
-	v := t.requestPermit(ctx, permit.Ask{Endpoint: endpoint, Zone: zone, Rate: rate, Priority: priority})
+	v := t.requestPermit(ctx, permit.Request{Endpoint: endpoint, Zone: zone, Rate: rate, Priority: priority})
 	if !v.Granted {
 		t.Scope.Counter("permits_denied").Inc(1)
-		t.deny(endpoint, priority, v.After)
-		return v.After
+		t.deny(endpoint, priority, v.RetryAfter)
+		return v.RetryAfter
 	}
 	t.Scope.Counter("permits").Inc(1)
 	return 0
@@ -46,16 +46,16 @@
 		return
 	}
 	t.mu.Lock()
-	limited := t.table.Binds(endpoint)
+	limited := t.table.IsLimited(endpoint)
 	t.mu.Unlock()
 	if limited {
 		t.keepReturned(endpoint)
 	}
 }
 
-// Withheld returns the endpoints to which no request of a priority may be sent, and for
+// Denied returns the endpoints to which no request of a priority may be sent, and for
 // how long, as far as that is known locally.
-func (t *Throttle) Withheld(priority int) map[string]time.Duration {
+func (t *Throttle) Denied(priority int) map[string]time.Duration {
 	if !t.active.Load() {
 		return nil
 	}
@@ -76,21 +76,21 @@
 	return list
 }
 
-// Spent returns the endpoints of this instance's zone for which it has no permit left,
+// Exhausted returns the endpoints of this instance's zone for which it has no permit left,
 // and the shortest time until it has one again. Where this instance is the issuer, that
 // holds for all instances.
-func (t *Throttle) Spent() (endpoints []string, next time.Duration) {
+func (t *Throttle) Exhausted() (endpoints []string, next time.Duration) {
 	if !t.active.Load() {
 		return nil, 0
 	}
 	now := t.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, s := range t.table.Bound() {
+	for _, s := range t.table.Limited() {
 		if s.Zone != t.Zone {
 			continue
 		}
-		after := t.issuer.Spent(now, permit.Ask{Endpoint: s.Endpoint, Zone: s.Zone, Rate: s.Rate})
+		after := t.issuer.WaitTime(now, permit.Request{Endpoint: s.Endpoint, Zone: s.Zone, Rate: s.Rate})
 		if after <= 0 {
 			continue
 		}
@@ -104,7 +104,7 @@
 
 // requestPermit requests a permit from the first instance of the endpoint's zone, then
 // from the first of this zone, and finally from this instance's own shares.
-func (t *Throttle) requestPermit(ctx context.Context, a permit.Ask) permit.Verdict {
+func (t *Throttle) requestPermit(ctx context.Context, a permit.Request) permit.Decision {
 	for _, zone := range []string{t.issuerZone(a.Zone), t.Zone} {
 		i, known := t.firstResponsive(zone)
 		if !known {
@@ -118,7 +118,7 @@
 			return v
 		}
 		if ctx.Err() != nil { // the request was cancelled, which says nothing about the issuer
-			return permit.Verdict{After: permitTimeout}
+			return permit.Decision{RetryAfter: permitTimeout}
 		}
 		t.Scope.Counter("permits_unanswered").Inc(1)
 		t.markUnresponsive(i)
@@ -126,10 +126,10 @@
 	return t.issue(a)
 }
 
-func (t *Throttle) requestFrom(ctx context.Context, i roster.Instance, a permit.Ask) (permit.Verdict, error) {
+func (t *Throttle) requestFrom(ctx context.Context, i roster.Instance, a permit.Request) (permit.Decision, error) {
 	ctx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
-	return peer.Ask[permit.Ask, permit.Verdict](ctx, t.Transport, i.Address, topicPermit, a)
+	return peer.Call[permit.Request, permit.Decision](ctx, t.Transport, i.Address, topicPermit, a)
 }
 
 // issuerZone returns the zone whose first instance issues permits for a zone's
@@ -144,7 +144,7 @@
 
 // issue decides on a permit from this instance's own and borrowed shares. A limit known
 // here takes precedence over the rate in the request.
-func (t *Throttle) issue(a permit.Ask) permit.Verdict {
+func (t *Throttle) issue(a permit.Request) permit.Decision {
 	now := t.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -152,7 +152,7 @@
 	if rate, _, limited := t.table.Limit(a.Endpoint); limited {
 		a.Rate = rate
 	}
-	return t.issuer.Ask(now, a)
+	return t.issuer.Issue(now, a)
 }
 
 // firstResponsive returns the first instance of a zone that is not marked unresponsive.
@@ -191,7 +191,7 @@
 		d = denial{}
 		t.denials[endpoint] = d
 	}
-	d[priority] = t.Now().Add(min(after, permit.DenyMost))
+	d[priority] = t.Now().Add(min(after, permit.MaxDenial))
 }
 
 // left returns how long requests of a priority are denied. A denial also applies to all
--- a/internal/throttle/throttle.go
+++ b/internal/throttle/throttle.go
@@ -78,8 +78,8 @@
 	Log        *eventlog.Log
 	Scope      tally.Scope
 	Now        func() clock.Millis
-	// StoreAway reports whether the store is unreachable from this instance.
-	StoreAway func() bool
+	// StoreUnreachable reports whether the store is unreachable from this instance.
+	StoreUnreachable func() bool
 	// ZoneOf returns the zone of an endpoint ID, or this instance's zone if it is not
 	// known.
 	ZoneOf func(endpoint string) string
@@ -152,10 +152,10 @@
 
 // Register adds the handlers for messages from other instances.
 func (t *Throttle) Register(r *message.Router) {
-	peer.Answer(r, t.Transport, topicPermit, func(_ context.Context, _ peer.Sender, a permit.Ask) permit.Verdict {
+	peer.HandleCall(r, t.Transport, topicPermit, func(_ context.Context, _ peer.Sender, a permit.Request) permit.Decision {
 		return t.issue(a)
 	})
-	peer.Answer(r, t.Transport, topicLoan, func(_ context.Context, from peer.Sender, l loan) limitsMessage {
+	peer.HandleCall(r, t.Transport, topicLoan, func(_ context.Context, from peer.Sender, l loan) limitsMessage {
 		t.merge(l.Known, true)
 		t.mu.Lock()
 		defer t.mu.Unlock()
@@ -175,9 +175,9 @@
 	ticker.Every(ctx, tickInterval, func() { t.tick(ctx) })
 }
 
-// Named records that a response from an endpoint named a limit of rate requests a
+// ObserveLimit records that a response from an endpoint named a limit of rate requests a
 // second.
-func (t *Throttle) Named(endpoint string, rate float64) {
+func (t *Throttle) ObserveLimit(endpoint string, rate float64) {
 	t.mu.Lock()
 	_, zone, known := t.table.Limit(endpoint)
 	t.mu.Unlock()
@@ -186,7 +186,7 @@
 	}
 	t.mu.Lock()
 	now := t.Now()
-	changed := t.table.Named(now, endpoint, zone, rate)
+	changed := t.table.ObserveLimit(now, endpoint, zone, rate)
 	notify := changed && t.mayAnnounce(now, announcement{endpoint, false})
 	t.active.Store(true)
 	t.mu.Unlock()
@@ -195,12 +195,12 @@
 	}
 }
 
-// Warming records that an endpoint is cold for the time left and limited to rate
+// ObserveCold records that an endpoint is cold for the time left and limited to rate
 // meanwhile. Each instance learns this from the endpoint's entry in the store, so it is
 // not announced.
-func (t *Throttle) Warming(endpoint, zone string, rate float64, left time.Duration) {
+func (t *Throttle) ObserveCold(endpoint, zone string, rate float64, left time.Duration) {
 	t.mu.Lock()
-	changed := t.table.Warming(t.Now(), endpoint, zone, rate, left)
+	changed := t.table.ObserveCold(t.Now(), endpoint, zone, rate, left)
 	t.active.Store(true)
 	t.mu.Unlock()
 	if changed {
@@ -222,19 +222,19 @@
 	return true
 }
 
-// Unnamed records that an endpoint answered a request successfully without naming a
+// ObserveNoLimit records that an endpoint answered a request successfully without naming a
 // limit. The request was sent at the time sent.
-func (t *Throttle) Unnamed(endpoint string, sent clock.Millis) {
+func (t *Throttle) ObserveNoLimit(endpoint string, sent clock.Millis) {
 	if !t.active.Load() {
 		return
 	}
 	t.mu.Lock()
 	now := t.Now()
-	changed := t.table.Unnamed(now, endpoint, sent)
+	changed := t.table.ObserveNoLimit(now, endpoint, sent)
 	notify := changed && t.mayAnnounce(now, announcement{endpoint, true})
 	t.mu.Unlock()
 	if changed {
-		t.announce(ratelimit.Statement{Endpoint: endpoint, Over: true}, notify)
+		t.announce(ratelimit.Statement{Endpoint: endpoint, Lifted: true}, notify)
 	}
 }
 
--- a/internal/throttle/throttle_test.go
+++ b/internal/throttle/throttle_test.go
@@ -37,10 +37,10 @@
 	n.self = roster.Instance{Name: name, Zone: "a", Address: transport.Address(), Fingerprint: fingerprint, Capacity: capacity, Revision: 1}
 	n.Throttle = New(Options{
 		Name: name, Zone: "a", Transport: transport, Roster: roster.New(now), Log: log, Scope: tally.NoopScope, Now: now,
-		StoreAway: func() bool { return false }, ZoneOf: func(string) string { return "a" },
+		StoreUnreachable: func() bool { return false }, ZoneOf: func(string) string { return "a" },
 	})
 	n.storeTime = discoveryTime
-	n.Roster.See(n.self)
+	n.Roster.Update(n.self)
 	peers.Route(t, n.Register)
 	return n
 }
@@ -51,8 +51,8 @@
 	t.Helper()
 	issuer, other = startNode(t, "n1", 2), startNode(t, "n2", 1)
 	for _, n := range []*node{issuer, other} {
-		n.Roster.See(issuer.self)
-		n.Roster.See(other.self)
+		n.Roster.Update(issuer.self)
+		n.Roster.Update(other.self)
 		n.now.Store(10_000)
 	}
 	return issuer, other
@@ -72,18 +72,18 @@
 func (n *node) knowsLimit() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.table.Binds("e1")
+	return n.table.IsLimited("e1")
 }
 
 // A limit that one instance reads from a response, and its end, are announced to the
 // other.
 func TestLimitsAreAnnounced(t *testing.T) {
 	issuer, other := pair(t)
-	other.Named("e1", 4)
+	other.ObserveLimit("e1", 4)
 	eventually(t, "the other instance knows the limit", issuer.knowsLimit)
 	other.now.Add(100)
 	issuer.now.Add(100)
-	other.Unnamed("e1", 10_050)
+	other.ObserveNoLimit("e1", 10_050)
 	eventually(t, "the other instance knows that the limit was lifted", func() bool { return !issuer.knowsLimit() })
 	qt.Assert(t, issuer.Take(t.Context(), "e1", 0), qt.Equals, time.Duration(0))
 }
@@ -92,7 +92,7 @@
 // be marked unresponsive.
 func TestCancelledRequest(t *testing.T) {
 	issuer, other := pair(t)
-	issuer.Named("e1", 4)
+	issuer.ObserveLimit("e1", 4)
 	eventually(t, "both instances know the limit", other.knowsLimit)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -104,9 +104,9 @@
 // peer sends it anything unasked.
 func TestNewInstanceLearnsLimits(t *testing.T) {
 	issuer, other := pair(t)
-	other.Roster.Remove(roster.Departure{Name: "n2", Revision: 2}) // it receives none of the following messages
-	issuer.Roster.Remove(roster.Departure{Name: "n2", Revision: 2})
-	issuer.Named("e1", 4)
+	other.Roster.Remove(roster.Removal{Name: "n2", Revision: 2}) // it receives none of the following messages
+	issuer.Roster.Remove(roster.Removal{Name: "n2", Revision: 2})
+	issuer.ObserveLimit("e1", 4)
 	other.tick(t.Context())
 	eventually(t, "the instance knows the limit", other.knowsLimit)
 }
@@ -115,10 +115,10 @@
 // first instance.
 func TestFirstOfZoneLearnsLimits(t *testing.T) {
 	known, joining := startNode(t, "n1", 2), startNode(t, "n2", 1)
-	known.Named("e1", 4)
+	known.ObserveLimit("e1", 4)
 	joining.Zone, joining.self.Zone, joining.self.Revision = "b", "b", 2
-	joining.Roster.See(joining.self)
-	joining.Roster.See(known.self)
+	joining.Roster.Update(joining.self)
+	joining.Roster.Update(known.self)
 	joining.tick(t.Context())
 	eventually(t, "the instance knows the limit", joining.knowsLimit)
 }
@@ -128,12 +128,12 @@
 func TestFrequentRateChanges(t *testing.T) {
 	c := qt.New(t)
 	issuer, other := pair(t)
-	other.Named("e1", 4)
+	other.ObserveLimit("e1", 4)
 	eventually(t, "the other instance knows the limit", issuer.knowsLimit)
 	other.now.Add(10)
 	issuer.now.Add(10)
 	for rate := 5.0; rate < 50; rate++ {
-		other.Named("e1", rate)
+		other.ObserveLimit("e1", rate)
 	}
 	other.mu.Lock()
 	c.Assert(other.announcedAt, qt.HasLen, 1)
@@ -164,10 +164,10 @@
 			issuer, other := pair(t)
 			other.Zone, other.self.Zone, other.self.Revision = test.zone, test.zone, 2
 			for _, n := range []*node{issuer, other} {
-				n.Roster.See(other.self)
+				n.Roster.Update(other.self)
 				n.ZoneOf = func(string) string { return test.endpoint }
 			}
-			issuer.Named("e1", 4)
+			issuer.ObserveLimit("e1", 4)
 			eventually(t, "both instances know the limit", other.knowsLimit)
 			var granted int
 			const seconds = 10
@@ -193,13 +193,13 @@
 // instance has lent the other its share of it.
 func lendShare(t *testing.T, issuer, other *node) {
 	t.Helper()
-	issuer.Named("e1", 4)
+	issuer.ObserveLimit("e1", 4)
 	eventually(t, "both instances know the limit", other.knowsLimit)
 	other.tick(t.Context())
 	eventually(t, "the share is lent", func() bool {
 		issuer.mu.Lock()
 		defer issuer.mu.Unlock()
-		return issuer.issuer.OnLoan(10_000, "b").Parts == 2
+		return issuer.issuer.CrossZoneLoan(10_000, "b").Shares == 2
 	})
 }
 
@@ -208,11 +208,11 @@
 func TestStaleRateInRequest(t *testing.T) {
 	n := startNode(t, "n1", 1)
 	n.now.Store(10_000)
-	n.Named("e1", 1)
+	n.ObserveLimit("e1", 1)
 	granted := 0
 	for range 300 { // 3 s
 		n.now.Add(10)
-		if n.issue(permit.Ask{Endpoint: "e1", Zone: "a", Rate: 1000}).Granted {
+		if n.issue(permit.Request{Endpoint: "e1", Zone: "a", Rate: 1000}).Granted {
 			granted++
 		}
 	}
@@ -226,23 +226,23 @@
 	n := startNode(t, "n1", 1)
 	n.issuer = permit.New(func() float64 { return 0 })
 	n.now.Store(10_000)
-	n.Named("e1", 0)
+	n.ObserveLimit("e1", 0)
 	for n.Take(t.Context(), "e1", 1) == 0 { // the initial permits
 	}
-	c.Assert(n.Withheld(1)["e1"], qt.Equals, permit.DenyMost)
-	c.Assert(n.Withheld(2)["e1"], qt.Equals, permit.DenyMost)
-	c.Assert(n.Withheld(0), qt.HasLen, 0)
+	c.Assert(n.Denied(1)["e1"], qt.Equals, permit.MaxDenial)
+	c.Assert(n.Denied(2)["e1"], qt.Equals, permit.MaxDenial)
+	c.Assert(n.Denied(0), qt.HasLen, 0)
 	n.Return("e1")
 	c.Assert(n.Take(t.Context(), "e1", 2), qt.Equals, time.Duration(0))
 	c.Assert(n.Take(t.Context(), "e1", 2) > 0, qt.IsTrue)
 	n.Return("e1")
 	n.now.Add(returnedLifetime.Milliseconds())
 	c.Assert(n.Take(t.Context(), "e1", 2) > 0, qt.IsTrue)
-	spent, next := n.Spent()
+	spent, next := n.Exhausted()
 	c.Assert(spent, qt.DeepEquals, []string{"e1"})
 	c.Assert(next > 0, qt.IsTrue)
-	n.Named("e1", 100)
-	c.Assert(n.Withheld(2), qt.HasLen, 0) // the denial was under the previous limit
+	n.ObserveLimit("e1", 100)
+	c.Assert(n.Denied(2), qt.HasLen, 0) // the denial was under the previous limit
 }
 
 // While no endpoint has a limit nothing is sent.
@@ -255,8 +255,8 @@
 	_, lent := other.issuer.Borrower(10_000, "")
 	c.Assert(lent, qt.IsFalse)
 	c.Assert(issuer.Take(t.Context(), "e1", 0), qt.Equals, time.Duration(0))
-	c.Assert(issuer.Withheld(0), qt.HasLen, 0)
-	spent, _ := issuer.Spent()
+	c.Assert(issuer.Denied(0), qt.HasLen, 0)
+	spent, _ := issuer.Exhausted()
 	c.Assert(spent, qt.HasLen, 0)
 }
 
@@ -266,7 +266,7 @@
 	c := qt.New(t)
 	issuer, other := pair(t)
 	lendShare(t, issuer, other)
-	other.Transport.Cut(func(netip.AddrPort) bool { return true })
+	other.Transport.Partition(func(netip.AddrPort) bool { return true })
 	granted, first := 0, 0
 	const seconds = 12
 	for i := range seconds * 10 {
--- a/internal/trace/player.go
+++ b/internal/trace/player.go
@@ -57,10 +57,10 @@
 
 func (p *Player) playRequest(ctx context.Context, report *Report, r Request, i int) {
 	var group sync.WaitGroup
-	if r.AgainMS > 0 {
+	if r.RepeatAfterMS > 0 {
 		group.Go(func() { // the caller repeats the request with the same key, at the next target
 			select {
-			case <-time.After(time.Duration(r.AgainMS) * time.Millisecond):
+			case <-time.After(time.Duration(r.RepeatAfterMS) * time.Millisecond):
 			case <-ctx.Done():
 			}
 			report.addRepeat(p.send(ctx, r, i+1))
@@ -85,9 +85,9 @@
 }
 
 func (p *Player) send(ctx context.Context, r Request, i int) result {
-	if r.CancelMS > 0 {
+	if r.CancelAfterMS > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, time.Duration(r.CancelMS)*time.Millisecond)
+		ctx, cancel = context.WithTimeout(ctx, time.Duration(r.CancelAfterMS)*time.Millisecond)
 		defer cancel()
 	}
 	began := time.Now()
@@ -153,7 +153,7 @@
 		url = "http://" + to.String() + "/v1/completions"
 		var err error
 		body, err = json.Marshal(map[string]any{
-			"model": r.Model, "prompt": r.Prompt(), "max_tokens": r.Out, "stream": true,
+			"model": r.Model, "prompt": r.Prompt(), "max_tokens": r.OutputTokens, "stream": true,
 		})
 		if err != nil {
 			return nil, Error.Wrap(err)
--- a/internal/trace/report.go
+++ b/internal/trace/report.go
@@ -121,7 +121,7 @@
 
 // Totals are the sums of a replay's figures over all classes.
 type Totals struct {
-	Offered, Answered, Good, Wrong, Lost, Untold int
+	Offered, Answered, Good, Wrong, Lost, NoRetryAfter int
 }
 
 // Totals adds up the classes.
@@ -135,7 +135,7 @@
 		sum.Good += t.good
 		sum.Wrong += t.wrong
 		sum.Lost += t.lost
-		sum.Untold += t.noRetryAfter
+		sum.NoRetryAfter += t.noRetryAfter
 	}
 	return sum
 }
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -35,21 +35,21 @@
 
 // Request is one request of a caller.
 type Request struct {
-	AtMS         int64  `json:"at_ms"`
-	Workspace    string `json:"workspace"`
-	Class        string `json:"class"`
-	Kind         string `json:"kind"`
-	Model        string `json:"model,omitempty"`   // empty for a plain service
-	Service      string `json:"service,omitempty"` // plain service; empty for a model
-	Seed         int64  `json:"seed"`
-	Prefix       string `json:"prefix,omitempty"` // text that the first PrefixTokens of the prompt are made of
-	PrefixTokens int    `json:"prefix_tokens,omitempty"`
-	Tokens       int    `json:"tokens,omitempty"`    // length of the whole prompt
-	Out          int    `json:"out,omitempty"`       // length of the answer in tokens
-	Key          string `json:"key,omitempty"`       // idempotency key
-	AgainMS      int64  `json:"again_ms,omitempty"`  // if set, the caller repeats the request this long after the first send
-	CancelMS     int64  `json:"cancel_ms,omitempty"` // if set, the caller disconnects after this time
-	Digest       uint64 `json:"digest"`
+	AtMS          int64  `json:"at_ms"`
+	Workspace     string `json:"workspace"`
+	Class         string `json:"class"`
+	Kind          string `json:"kind"`
+	Model         string `json:"model,omitempty"`   // empty for a plain service
+	Service       string `json:"service,omitempty"` // plain service; empty for a model
+	Seed          int64  `json:"seed"`
+	Prefix        string `json:"prefix,omitempty"` // text that the first PrefixTokens of the prompt are made of
+	PrefixTokens  int    `json:"prefix_tokens,omitempty"`
+	Tokens        int    `json:"tokens,omitempty"`    // length of the whole prompt
+	OutputTokens  int    `json:"out,omitempty"`       // length of the answer in tokens
+	Key           string `json:"key,omitempty"`       // idempotency key
+	RepeatAfterMS int64  `json:"again_ms,omitempty"`  // if set, the caller repeats the request this long after the first send
+	CancelAfterMS int64  `json:"cancel_ms,omitempty"` // if set, the caller disconnects after this time
+	Digest        uint64 `json:"digest"`
 }
 
 // Trace is a recorded trace.
@@ -96,7 +96,7 @@
 // Prompt returns the request's prompt: the shared prefix, text unique to the
 // request, and the length of the answer in the form that the stand-in engines parse.
 func (r Request) Prompt() string {
-	end := fmt.Sprintf(" [out=%d]", r.Out)
+	end := fmt.Sprintf(" [out=%d]", r.OutputTokens)
 	prefix := repeatTo(r.Prefix, r.PrefixTokens*bytesPerToken)
 	own := repeatTo(fmt.Sprintf("request %d ", r.Seed), r.Tokens*bytesPerToken-len(prefix)-len(end))
 	return prefix + own + end
--- a/internal/uplink/ended_test.go
+++ b/internal/uplink/ended_test.go
@@ -42,7 +42,7 @@
 			if test.dial != nil {
 				p.Dial = func(context.Context, netip.AddrPort) (net.Conn, error) { return nil, test.dial }
 			}
-			qt.Assert(t, p.Ended(t.Context(), test.at, "life"), qt.Equals, test.ended)
+			qt.Assert(t, p.ProcessEnded(t.Context(), test.at, "life"), qt.Equals, test.ended)
 		})
 	}
 }
--- a/internal/uplink/exchange.go
+++ b/internal/uplink/exchange.go
@@ -15,23 +15,23 @@
 // did not run.
 var ErrNotSent = errors.New("not sent")
 
-// ErrSevered means that the connection ended, or carried something other than a response,
+// ErrNoResponse means that the connection ended, or carried something other than a response,
 // after part of the request had been sent: the request may have run.
-var ErrSevered = errors.New("connection ended without a response")
+var ErrNoResponse = errors.New("connection ended without a response")
 
 // Message is one request to an endpoint.
 type Message struct {
-	To     netip.AddrPort
-	Life   string // ID of the endpoint; connections are reused only for the same ID
-	Method string
-	Target string // path and query, exactly as the caller sent them
-	Host   string
-	Header http.Header
-	Body   []byte
+	Address    netip.AddrPort
+	EndpointID string // ID of the endpoint; connections are reused only for the same ID
+	Method     string
+	Target     string // path and query, exactly as the caller sent them
+	Host       string
+	Header     http.Header
+	Body       []byte
 	// HasBody distinguishes an empty body from none.
 	HasBody bool
-	// Rest is the longest time that a reused connection may have been idle.
-	Rest time.Duration
+	// MaxIdle is the longest time that a reused connection may have been idle.
+	MaxIdle time.Duration
 }
 
 // Exchange is a request whose response is being read.
@@ -48,7 +48,7 @@
 // to earlier requests and are skipped. When ctx ends, the connection is closed, which makes
 // the endpoint stop.
 func (p *Pool) Do(ctx context.Context, m Message, accept func(*http.Response) bool) (*Exchange, error) {
-	c, err := p.get(ctx, connKey{m.To, m.Life}, m.Rest)
+	c, err := p.get(ctx, connKey{m.Address, m.EndpointID}, m.MaxIdle)
 	if err != nil {
 		return nil, Error.Wrap(errors.Join(ErrNotSent, err))
 	}
@@ -60,7 +60,7 @@
 	}
 	if err := e.receive(m.Method, accept); err != nil {
 		e.Close(false)
-		return nil, Error.Wrap(errors.Join(ErrSevered, err))
+		return nil, Error.Wrap(errors.Join(ErrNoResponse, err))
 	}
 	return e, nil
 }
@@ -75,7 +75,7 @@
 		return errors.Join(ErrNotSent, err)
 	}
 	if err != nil {
-		return errors.Join(ErrSevered, err)
+		return errors.Join(ErrNoResponse, err)
 	}
 	rest := m.Body[min(len(m.Body), maxFirstWrite):]
 	if len(rest) == 0 {
@@ -125,7 +125,7 @@
 		if err != nil {
 			return err
 		}
-		e.pool.Heard(e.conn.key.endpointID, resp)
+		e.pool.OnResponse(e.conn.key.endpointID, resp)
 		if resp.StatusCode < http.StatusOK && resp.StatusCode != http.StatusSwitchingProtocols {
 			continue
 		}
--- a/internal/uplink/header_test.go
+++ b/internal/uplink/header_test.go
@@ -36,11 +36,11 @@
 	p := uplink.NewPool(tally.NoopScope, clock.System())
 	defer p.Close()
 	var reported []string
-	p.Heard = func(endpointID string, head *http.Response) {
+	p.OnResponse = func(endpointID string, head *http.Response) {
 		reported = append(reported, endpointID+" "+head.Header.Get("Id"))
 	}
 	x, err := p.Do(t.Context(), uplink.Message{
-		To: netip.MustParseAddrPort(listener.Addr().String()), Life: "e1", Method: "GET", Target: "/", Host: "h", Rest: time.Second,
+		Address: netip.MustParseAddrPort(listener.Addr().String()), EndpointID: "e1", Method: "GET", Target: "/", Host: "h", MaxIdle: time.Second,
 	}, func(r *http.Response) bool { return r.Header.Get("Id") == "own" })
 	c.Assert(err, qt.IsNil)
 	x.Close(false)
--- a/internal/uplink/pool.go
+++ b/internal/uplink/pool.go
@@ -46,10 +46,10 @@
 type Pool struct {
 	// Dial opens a connection. Tests may replace it.
 	Dial func(ctx context.Context, to netip.AddrPort) (net.Conn, error)
-	// Heard is called with the endpoint's ID and the header of each response,
+	// OnResponse is called with the endpoint's ID and the header of each response,
 	// including responses that belong to no request in progress. It must not read
 	// the body.
-	Heard func(endpointID string, head *http.Response)
+	OnResponse func(endpointID string, head *http.Response)
 
 	scope tally.Scope
 	now   func() clock.Millis
@@ -82,8 +82,8 @@
 		Dial: func(ctx context.Context, to netip.AddrPort) (net.Conn, error) {
 			return dialer.DialContext(ctx, "tcp", to.String())
 		},
-		Heard: func(string, *http.Response) {},
-		scope: scope, now: now, idle: map[connKey][]*conn{},
+		OnResponse: func(string, *http.Response) {},
+		scope:      scope, now: now, idle: map[connKey][]*conn{},
 	}
 }
 
@@ -137,10 +137,10 @@
 	p.idle[c.key] = append(p.idle[c.key], c)
 }
 
-// Ended reports whether the process of an endpoint has ended, that is, whether its host
+// ProcessEnded reports whether the process of an endpoint has ended, that is, whether its host
 // refuses connections to its port. A host that does not respond or is unreachable proves
 // nothing. If a connection is established, it is kept for the next request.
-func (p *Pool) Ended(ctx context.Context, to netip.AddrPort, endpointID string) bool {
+func (p *Pool) ProcessEnded(ctx context.Context, to netip.AddrPort, endpointID string) bool {
 	p.scope.Counter("uplink_dials").Inc(1)
 	raw, err := p.Dial(ctx, to)
 	if err != nil {
@@ -150,8 +150,8 @@
 	return false
 }
 
-// Sweep closes connections that have been idle for too long.
-func (p *Pool) Sweep() {
+// CloseExpired closes connections that have been idle for too long.
+func (p *Pool) CloseExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for key, list := range p.idle {
--- a/pkg/clock/machine.go
+++ b/pkg/clock/machine.go
@@ -26,7 +26,7 @@
 			now := time.Now()
 			return time.Duration(now.UnixNano()), now.Sub(started)
 		},
-		Asleep: readAsleep,
+		SuspendedTime: readAsleep,
 	}
 }
 
--- a/pkg/clock/suspend_test.go
+++ b/pkg/clock/suspend_test.go
@@ -23,7 +23,7 @@
 func (m *fakeMachine) source() clock.Source {
 	return clock.Source{
 		Read: func() (wall, monotonic time.Duration) { return m.wall, m.monotonic },
-		Asleep: func() (time.Duration, error) {
+		SuspendedTime: func() (time.Duration, error) {
 			m.asleepReads++
 			return m.suspended, nil
 		},
@@ -94,7 +94,7 @@
 // This machine's clocks can be read, and Now does not go backwards.
 func TestMachine(t *testing.T) {
 	s := clock.Machine()
-	first, err := s.Asleep()
+	first, err := s.SuspendedTime()
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, first >= 0, qt.IsTrue)
 	now := clock.From(s)
--- a/pkg/clock/system.go
+++ b/pkg/clock/system.go
@@ -12,10 +12,10 @@
 	// monotonic clock, which cannot be set and does not advance while the machine is
 	// suspended.
 	Read func() (wall, monotonic time.Duration)
-	// Asleep returns the time that the machine has been suspended since it booted:
+	// SuspendedTime returns the time that the machine has been suspended since it booted:
 	// how far the boot-time clock, which keeps advancing during suspension, is ahead
 	// of the monotonic clock.
-	Asleep func() (time.Duration, error)
+	SuspendedTime func() (time.Duration, error)
 }
 
 const (
@@ -55,7 +55,7 @@
 	c.lastGap.Store(int64(wall - monotonic))
 	c.lastCheck.Store(int64(monotonic))
 	// If Asleep fails, the monotonic clock is all there is to count on.
-	c.asleepAtStart, _ = s.Asleep()
+	c.asleepAtStart, _ = s.SuspendedTime()
 	return c
 }
 
@@ -66,22 +66,22 @@
 	if (gap-time.Duration(c.lastGap.Load())).Abs() > minStep || monotonic-time.Duration(c.lastCheck.Load()) > checkInterval {
 		c.checkSuspension(gap, monotonic)
 	}
-	return c.offset.Add(monotonic - c.start + c.Slept())
+	return c.offset.Add(monotonic - c.start + c.Suspended())
 }
 
-// Slept returns how long the machine was suspended since Open.
-func (c *Clock) Slept() time.Duration { return time.Duration(c.suspended.Load()) }
+// Suspended returns how long the machine was suspended since Open.
+func (c *Clock) Suspended() time.Duration { return time.Duration(c.suspended.Load()) }
 
 // checkSuspension updates the time suspended. If Asleep fails, the next call of Now
 // tries again.
 func (c *Clock) checkSuspension(gap, monotonic time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	asleep, err := c.source.Asleep()
+	asleep, err := c.source.SuspendedTime()
 	if err != nil {
 		return
 	}
-	if longer := asleep - c.asleepAtStart; longer-c.Slept() > minStep {
+	if longer := asleep - c.asleepAtStart; longer-c.Suspended() > minStep {
 		c.suspended.Store(int64(longer))
 	}
 	c.lastGap.Store(int64(gap))
