--- a/internal/placement/events.go
+++ b/internal/placement/events.go
@@ -30,7 +30,8 @@
 // handleLoadReport takes an engine's load report, which is requested at start-up, when
 // allocations of instances that are gone are unknown. Work that they left at prefill
 // engines is assumed to be worked off one prompt at a time; memory that they left at
-// decode engines counts for externalLoadLifetime, about as long as answers take.
+// decode engines counts for externalLoadLifetime, half the time of a typical answer but
+// at least a second.
 func (p *Planner) handleLoadReport(now clock.Millis, m LoadReport) {
 	e := p.engines[m.Engine]
 	if e == nil {
@@ -119,10 +120,10 @@
 
 // learnAnswer updates the model from a gateway's timings of an answer, if this planner
 // knows the request.
-func (p *Planner) learnAnswer(now clock.Millis, a *allocation, s Observation) {
+func (p *Planner) learnAnswer(now clock.Millis, a *allocation, o Observation) {
 	e := p.engines[a.grant.Decode]
 	if e != nil && a.req.Route != "" {
-		Learn(p.model, now, a.req, a.grant, len(e.allocations), s)
+		Learn(p.model, now, a.req, a.grant, len(e.allocations), o)
 	}
 }
 
--- a/internal/placement/grant.go
+++ b/internal/placement/grant.go
@@ -39,8 +39,9 @@
 	p.answers = append(p.answers, Answer{ID: req.ID, Owner: req.Owner, Decision: Decision{Queued: true}})
 }
 
-// chooseDecoder returns the decode engine with the smallest share of its memory in use,
-// among those that are eligible.
+// chooseDecoder returns the decode engine with the smallest fraction of its memory in
+// use among those that are eligible, or the reason why there is none. For a request
+// whose decode cannot be retried, engines above maxOnceFailureRate come last.
 func (p *Planner) chooseDecoder(now clock.Millis, req Request, h health, eligible func(*engine) bool) (*engine, string) {
 	if req.FinalDecode {
 		h = healthy
@@ -61,9 +62,9 @@
 		if used+need > e.capacity && used > 0 || len(e.allocations) >= e.slots {
 			continue
 		}
-		share, risky := float64(used)/float64(max(e.capacity, 1)), req.FinalDecode && e.failureRate > maxOnceFailureRate
-		if best == nil || risk && !risky || risk == risky && ranksBefore(share, least, e, best) {
-			best, least, risk = e, share, risky
+		fraction, risky := float64(used)/float64(max(e.capacity, 1)), req.FinalDecode && e.failureRate > maxOnceFailureRate
+		if best == nil || risk && !risky || risk == risky && ranksBefore(fraction, least, e, best) {
+			best, least, risk = e, fraction, risky
 		}
 	}
 	switch {
@@ -100,10 +101,10 @@
 	}
 }
 
-// ranksBefore reports whether engine e with value figure ranks before best with value
-// least. Equals are ordered by tieBreak: the same events always give the same grants,
-// and planners that are not connected, as in the half second after all instances
-// restart, do not all choose the same engine.
+// ranksBefore reports whether engine e with value ranks before best with bestValue: the
+// smaller value is better. Equals are ordered by tieBreak, so that the same events
+// always give the same grants, and planners that are not connected, as in the half
+// second after all instances restart, do not all choose the same engine.
 func ranksBefore[T cmp.Ordered](value, bestValue T, e, best *engine) bool {
 	return value < bestValue || value == bestValue && e.tieBreak < best.tieBreak
 }
--- a/internal/placement/health_test.go
+++ b/internal/placement/health_test.go
@@ -21,8 +21,8 @@
 	}{
 		{"the healthy one has capacity", 1, true, func(*placement.Request) {}, "d2"},
 		{"the healthy one has none", 1, false, func(*placement.Request) {}, "d1"},
-		{"a failure of the decode engine is final", 1, false, func(a *placement.Request) { a.FinalDecode = true }, ""},
-		{"any failure is final", 1, false, func(a *placement.Request) { a.Final = true }, ""},
+		{"a failure of the decode engine is final", 1, false, func(req *placement.Request) { req.FinalDecode = true }, ""},
+		{"any failure is final", 1, false, func(req *placement.Request) { req.Final = true }, ""},
 		{"it answers nothing", 4, false, func(*placement.Request) {}, ""},
 	}
 	for _, test := range tests {
@@ -35,15 +35,15 @@
 			if !test.room {
 				fillEngine(c, p, "d2")
 			}
-			a := request("a")
-			test.change(&a)
-			v := decision(p.Apply(1000, a), "a")
+			req := request("a")
+			test.change(&req)
+			d := decision(p.Apply(1000, req), "a")
 			if test.want == "" {
-				c.Assert(v.Refusal, qt.IsNotNil)
+				c.Assert(d.Refusal, qt.IsNotNil)
 				return
 			}
-			c.Assert(v.Grant, qt.IsNotNil)
-			c.Assert(v.Grant.Decode, qt.Equals, test.want)
+			c.Assert(d.Grant, qt.IsNotNil)
+			c.Assert(d.Grant.Decode, qt.Equals, test.want)
 		})
 	}
 }
@@ -53,9 +53,9 @@
 	p.Apply(1000, placement.Announcement{Owner: "n0", Zone: "a", Allocations: []placement.HeldAllocation{
 		{ID: "old", Decode: id, Prompt: capacity, ExpectedTokens: 100},
 	}})
-	a := request("fills")
-	a.Exclude = []string{"d1"}
-	c.Assert(decision(p.Apply(1000, a), "fills").Refusal, qt.IsNotNil)
+	req := request("fills")
+	req.Exclude = []string{"d1"}
+	c.Assert(decision(p.Apply(1000, req), "fills").Refusal, qt.IsNotNil)
 }
 
 // Of two engines with capacity, the one that failed recently gets no request that
--- a/internal/placement/alone_test.go
+++ b/internal/placement/isolated_test.go
@@ -31,10 +31,10 @@
 		}
 	}
 	for name, counts := range map[string]map[string]int{"prefill": prefilled, "decode": decoded} {
-		most := 0
+		highest := 0
 		for _, n := range counts {
-			most = max(most, n)
+			highest = max(highest, n)
 		}
-		c.Check(most <= 9, qt.IsTrue, qt.Commentf("%s: %d of %d at one engine", name, most, 2*instances))
+		c.Check(highest <= 9, qt.IsTrue, qt.Commentf("%s: %d of %d at one engine", name, highest, 2*instances))
 	}
 }
--- a/internal/placement/late_test.go
+++ b/internal/placement/late_test.go
@@ -14,16 +14,16 @@
 // lateRequest returns a request that can no longer be in time and may be queued for two
 // seconds.
 func lateRequest(id string) placement.Request {
-	a := request(id)
-	a.Budget, a.Late, a.MayQueue, a.QueueTime = 0, true, true, 2*time.Second
-	return a
+	req := request(id)
+	req.Budget, req.Late, req.MayQueue, req.QueueTime = 0, true, true, 2*time.Second
+	return req
 }
 
 // fill takes all memory of a zone with one decode engine.
 func fill(c *qt.C, p *placement.Planner, now clock.Millis) {
 	for i := range 3 {
-		a := request(fmt.Sprint("full", i))
-		c.Assert(decision(p.Apply(now, a), a.ID).Grant, qt.IsNotNil)
+		req := request(fmt.Sprint("full", i))
+		c.Assert(decision(p.Apply(now, req), req.ID).Grant, qt.IsNotNil)
 	}
 }
 
@@ -50,11 +50,11 @@
 // engine: the next request may still be in time.
 func TestLateRequestsUseSpareCapacity(t *testing.T) {
 	tests := []struct {
-		name    string
-		decodes int
-		running int  // running requests
-		reading bool // one of them is in prefill
-		granted bool
+		name       string
+		decodes    int
+		running    int  // running requests
+		prefilling bool // they are still in prefill
+		granted    bool
 	}{
 		{"no requests run", 1, 0, false, true},
 		{"memory for two more", 1, 1, false, true},
@@ -67,14 +67,14 @@
 			c := qt.New(t)
 			p := planner(t, test.decodes)
 			for i := range test.running {
-				a := request(fmt.Sprint(i))
-				c.Assert(decision(p.Apply(1000, a), a.ID).Grant, qt.IsNotNil)
-				if !test.reading {
-					p.Apply(1000, placement.Progress{ID: a.ID, Prefilled: true, Took: 100 * time.Millisecond})
+				req := request(fmt.Sprint(i))
+				c.Assert(decision(p.Apply(1000, req), req.ID).Grant, qt.IsNotNil)
+				if !test.prefilling {
+					p.Apply(1000, placement.Progress{ID: req.ID, Prefilled: true, Took: 100 * time.Millisecond})
 				}
 			}
-			v := decision(p.Apply(1000, lateRequest("late")), "late")
-			c.Assert(v.Grant != nil, qt.Equals, test.granted)
+			d := decision(p.Apply(1000, lateRequest("late")), "late")
+			c.Assert(d.Grant != nil, qt.Equals, test.granted)
 		})
 	}
 }
@@ -96,12 +96,12 @@
 			c := qt.New(t)
 			p := planner(t, 1)
 			fill(c, p, 1000)
-			a := request("a")
-			a.MayQueue, a.QueueTime = true, 2*time.Second
-			c.Assert(decision(p.Apply(4200, a), "a").Queued, qt.IsTrue)
+			req := request("a")
+			req.MayQueue, req.QueueTime = true, 2*time.Second
+			c.Assert(decision(p.Apply(4200, req), "a").Queued, qt.IsTrue)
 			final := placement.Decision{}
 			for now := clock.Millis(4200); now < 7000 && final.Grant == nil && final.Refusal == nil; now += 10 {
-				final = decision(p.Apply(now, placement.Announcement{Owner: "n1", Allocations: fillHolds(now < test.freed)}), "a")
+				final = decision(p.Apply(now, placement.Announcement{Owner: "n1", Allocations: heldAfterFill(now < test.freed)}), "a")
 			}
 			c.Assert(final.Grant != nil, qt.Equals, test.granted)
 			c.Assert(final.Refusal != nil, qt.Equals, !test.granted)
@@ -110,8 +110,8 @@
 	}
 }
 
-// fillHolds lists the allocations after fill: all of them, or none.
-func fillHolds(running bool) []placement.HeldAllocation {
+// heldAfterFill lists the allocations after fill: all of them, or none.
+func heldAfterFill(running bool) []placement.HeldAllocation {
 	var list []placement.HeldAllocation
 	for i := range 3 {
 		if running {
--- a/internal/placement/learn_test.go
+++ b/internal/placement/learn_test.go
@@ -19,9 +19,9 @@
 	p := planner(t, 1)
 	now := clock.Millis(1000)
 	routed := func(id string) placement.Request {
-		a := request(id)
-		a.Route = "r"
-		return a
+		req := request(id)
+		req.Route = "r"
+		return req
 	}
 	before := decision(p.Apply(now, routed("before")), "before").Grant
 	c.Assert(before.PrefillTime, qt.Equals, 100*time.Millisecond)
@@ -53,8 +53,8 @@
 	now := clock.Millis(1000)
 	for round := range 8 {
 		for i := range 3 {
-			a := request(fmt.Sprint(round, "-", i))
-			c.Assert(decision(p.Apply(now, a), a.ID).Grant, qt.IsNotNil)
+			req := request(fmt.Sprint(round, "-", i))
+			c.Assert(decision(p.Apply(now, req), req.ID).Grant, qt.IsNotNil)
 		}
 		// Each takes 80 ms and is answered 50 ms after its prefill.
 		for i := range 3 {
--- a/internal/placement/load_test.go
+++ b/internal/placement/load_test.go
@@ -67,7 +67,7 @@
 	refusedWait                   time.Duration
 }
 
-func (r simulationResult) share() float64 {
+func (r simulationResult) inTimeFraction() float64 {
 	return float64(r.inTime) / float64(r.inTime+r.late+r.refused+r.failed)
 }
 
@@ -89,153 +89,153 @@
 	m.SetFigures("test", []pace.Figure{
 		{Service: "llm", Quantity: pace.PromptTokens, Base: meanPrompt}, {Service: "llm", Quantity: pace.AnswerTokens, Base: meanAnswer},
 	})
-	l := &simulation{
+	s := &simulation{
 		planner: placement.New("a", "n2", m), random: rand.New(rand.NewPCG(7, 7)), prefillsDone: map[string]clock.Millis{},
 		delays: map[string]time.Duration{}, requests: map[string]*simulatedRequest{}, events: map[clock.Millis][]func(){},
 		lossy: never, unreachable: never,
 	}
-	l.planner.Apply(0, placement.ViewUpdate{View: v})
-	return l
+	s.planner.Apply(0, placement.ViewUpdate{View: v})
+	return s
 }
 
 func never(string, clock.Millis) bool { return false }
 
 // run advances the simulation; rate returns the requests per second at a time.
-func (l *simulation) run(until clock.Millis, rate func(clock.Millis) float64) simulationResult {
-	for ; l.now < until; l.now++ {
-		for _, f := range l.events[l.now] {
+func (s *simulation) run(until clock.Millis, rate func(clock.Millis) float64) simulationResult {
+	for ; s.now < until; s.now++ {
+		for _, f := range s.events[s.now] {
 			f()
 		}
-		delete(l.events, l.now)
-		if l.random.Float64() < rate(l.now)/1000 {
-			l.arrive()
+		delete(s.events, s.now)
+		if s.random.Float64() < rate(s.now)/1000 {
+			s.arrive()
 		}
-		if l.now%10 == 0 {
-			l.apply(placement.Tick{})
+		if s.now%10 == 0 {
+			s.apply(placement.Tick{})
 		}
 	}
-	return l.result
+	return s.result
 }
 
-func (l *simulation) schedule(delay time.Duration, f func()) {
-	at := max(l.now.Add(delay), l.now+1)
-	l.events[at] = append(l.events[at], f)
+func (s *simulation) schedule(delay time.Duration, f func()) {
+	at := max(s.now.Add(delay), s.now+1)
+	s.events[at] = append(s.events[at], f)
 }
 
-func (l *simulation) arrive() {
-	output := max(int(l.random.ExpFloat64()*meanAnswer), 20)
-	a := &simulatedRequest{arrivedAt: l.now, Request: placement.Request{
-		ID: fmt.Sprint(len(l.requests)), Owner: "n", Service: "llm", Budget: loadTarget, QueueTime: 3 * loadTarget,
-		FinalDecode: len(l.requests)%3 == 0, // a third of the large fleet's streams
-		Prompt:      int((0.5 + l.random.Float64()) * meanPrompt), ExpectedTokens: min(output, 4*meanAnswer), MaxTokens: 4 * meanAnswer,
+func (s *simulation) arrive() {
+	output := max(int(s.random.ExpFloat64()*meanAnswer), 20)
+	req := &simulatedRequest{arrivedAt: s.now, Request: placement.Request{
+		ID: fmt.Sprint(len(s.requests)), Owner: "n", Service: "llm", Budget: loadTarget, QueueTime: 3 * loadTarget,
+		FinalDecode: len(s.requests)%3 == 0, // a third of the large fleet's streams
+		Prompt:      int((0.5 + s.random.Float64()) * meanPrompt), ExpectedTokens: min(output, 4*meanAnswer), MaxTokens: 4 * meanAnswer,
 	}}
-	l.requests[a.ID] = a
-	l.apply(a.Request)
+	s.requests[req.ID] = req
+	s.apply(req.Request)
 }
 
-func (l *simulation) apply(e placement.Event) {
-	for _, answer := range l.planner.Apply(l.now, e) {
-		l.handleDecision(l.requests[answer.ID], answer.Decision)
+func (s *simulation) apply(e placement.Event) {
+	for _, answer := range s.planner.Apply(s.now, e) {
+		s.handleDecision(s.requests[answer.ID], answer.Decision)
 	}
 }
 
 // handleDecision handles a decision like a gateway: after a first refusal it requests
 // again and accepts being queued.
-func (l *simulation) handleDecision(a *simulatedRequest, v placement.Decision) {
+func (s *simulation) handleDecision(req *simulatedRequest, d placement.Decision) {
 	switch {
-	case v.Grant != nil:
-		l.serve(a, *v.Grant)
-	case v.Refusal != nil && !a.MayQueue:
-		a.MayQueue = true
-		l.schedule(time.Millisecond, func() { l.apply(a.Request) })
-	case v.Refusal != nil:
-		l.result.refused++
-		l.result.refusedWait += l.now.Sub(a.arrivedAt)
+	case d.Grant != nil:
+		s.serve(req, *d.Grant)
+	case d.Refusal != nil && !req.MayQueue:
+		req.MayQueue = true
+		s.schedule(time.Millisecond, func() { s.apply(req.Request) })
+	case d.Refusal != nil:
+		s.result.refused++
+		s.result.refusedWait += s.now.Sub(req.arrivedAt)
 	}
 }
 
-func (l *simulation) serve(a *simulatedRequest, g placement.Grant) {
+func (s *simulation) serve(req *simulatedRequest, g placement.Grant) {
 	tokens := func(n int, each time.Duration) time.Duration { return time.Duration(n) * each }
 	switch {
-	case g.Prefill == "" && a.Part == placement.DecodeOnly:
-		l.sendToDecoder(a, g)
+	case g.Prefill == "" && req.Part == placement.DecodeOnly:
+		s.sendToDecoder(req, g)
 	case g.Prefill == "":
-		read := tokens(a.Prompt, loadFigures.LocalPrefillToken)
-		if l.drops(a, g.Decode, placement.Both, 1) {
+		prefill := tokens(req.Prompt, loadFigures.LocalPrefillToken)
+		if s.drops(req, g.Decode, placement.Both, 1) {
 			return
 		}
-		l.delays[g.Decode] += read
-		l.schedule(read+loadFigures.FirstEvent, func() { l.startAnswer(a, g) })
-	case l.drops(a, g.Prefill, placement.Both, 0):
+		s.delays[g.Decode] += prefill
+		s.schedule(prefill+loadFigures.FirstEvent, func() { s.startAnswer(req, g) })
+	case s.drops(req, g.Prefill, placement.Both, 0):
 	default:
-		sent := l.now
-		l.prefillsDone[g.Prefill] = max(l.prefillsDone[g.Prefill], l.now).Add(tokens(a.Prompt, loadFigures.PrefillToken))
-		l.schedule(l.prefillsDone[g.Prefill].Sub(l.now)+loadFigures.PrefillSetup, func() {
-			l.apply(placement.Progress{ID: a.ID, Prefilled: true, Running: 1, Took: l.now.Sub(sent)})
-			l.sendToDecoder(a, g)
+		sent := s.now
+		s.prefillsDone[g.Prefill] = max(s.prefillsDone[g.Prefill], s.now).Add(tokens(req.Prompt, loadFigures.PrefillToken))
+		s.schedule(s.prefillsDone[g.Prefill].Sub(s.now)+loadFigures.PrefillSetup, func() {
+			s.apply(placement.Progress{ID: req.ID, Prefilled: true, Running: 1, Took: s.now.Sub(sent)})
+			s.sendToDecoder(req, g)
 		})
 	}
 }
 
 // sendToDecoder sends a request to the decode engine, which fetches its KV cache.
-func (l *simulation) sendToDecoder(a *simulatedRequest, g placement.Grant) {
-	if !l.drops(a, g.Decode, placement.DecodeOnly, 1) { // otherwise the cache was not fetched
-		l.schedule(loadFigures.FirstEvent, func() { l.startAnswer(a, g) })
+func (s *simulation) sendToDecoder(req *simulatedRequest, g placement.Grant) {
+	if !s.drops(req, g.Decode, placement.DecodeOnly, 1) { // otherwise the cache was not fetched
+		s.schedule(loadFigures.FirstEvent, func() { s.startAnswer(req, g) })
 	}
 }
 
 // drops reports whether an engine drops a request, which is then retried; runs is 1 if
 // the engine may have run it.
-func (l *simulation) drops(a *simulatedRequest, engine string, part placement.Part, runs int) bool {
+func (s *simulation) drops(req *simulatedRequest, engine string, part placement.Part, runs int) bool {
 	switch {
-	case l.unreachable(engine, l.now):
-		l.schedule(dialTimeout, func() { l.retry(a, engine, part, 0) })
+	case s.unreachable(engine, s.now):
+		s.schedule(dialTimeout, func() { s.retry(req, engine, part, 0) })
 		return true
-	case l.lossy(engine, l.now) && l.random.Float64() < lossRatio:
-		l.retry(a, engine, part, runs)
+	case s.lossy(engine, s.now) && s.random.Float64() < lossRatio:
+		s.retry(req, engine, part, runs)
 		return true
 	}
 	return false
 }
 
 // retry requests other engines, like a gateway that may retry.
-func (l *simulation) retry(a *simulatedRequest, engine string, part placement.Part, runs int) {
-	l.apply(placement.Release{ID: a.ID, Owner: "n", FailedEngine: engine})
-	a.decodeAttempts += runs
-	a.retries++
-	if a.decodeAttempts > 0 && a.FinalDecode || a.retries > 4 {
-		l.result.failed++
+func (s *simulation) retry(req *simulatedRequest, engine string, part placement.Part, runs int) {
+	s.apply(placement.Release{ID: req.ID, Owner: "n", FailedEngine: engine})
+	req.decodeAttempts += runs
+	req.retries++
+	if req.decodeAttempts > 0 && req.FinalDecode || req.retries > 4 {
+		s.result.failed++
 		return
 	}
-	delete(l.requests, a.ID)
-	a.ID += "+"
-	a.Exclude, a.Part, a.MayQueue = append(a.Exclude, engine), part, false
-	a.Budget = max(a.arrivedAt.Add(loadTarget).Sub(l.now), 0)
-	a.Late, a.FinalDecode = a.Budget == 0, a.FinalDecode || a.decodeAttempts > 0
-	l.requests[a.ID] = a
-	l.schedule(time.Millisecond, func() { l.apply(a.Request) })
+	delete(s.requests, req.ID)
+	req.ID += "+"
+	req.Exclude, req.Part, req.MayQueue = append(req.Exclude, engine), part, false
+	req.Budget = max(req.arrivedAt.Add(loadTarget).Sub(s.now), 0)
+	req.Late, req.FinalDecode = req.Budget == 0, req.FinalDecode || req.decodeAttempts > 0
+	s.requests[req.ID] = req
+	s.schedule(time.Millisecond, func() { s.apply(req.Request) })
 }
 
-// startAnswer counts the first event and schedules the end of the answer, which is delayed
-// by prompts that the engine prefills meanwhile.
-func (l *simulation) startAnswer(a *simulatedRequest, g placement.Grant) {
-	l.apply(placement.Progress{ID: a.ID, Running: 1})
-	if l.now.Sub(a.arrivedAt) <= loadTarget {
-		l.result.inTime++
+// startAnswer counts the first event and schedules the end of the answer, which is
+// delayed by prompts that the engine prefills meanwhile.
+func (s *simulation) startAnswer(req *simulatedRequest, g placement.Grant) {
+	s.apply(placement.Progress{ID: req.ID, Running: 1})
+	if s.now.Sub(req.arrivedAt) <= loadTarget {
+		s.result.inTime++
 	} else {
-		l.result.late++
+		s.result.late++
 	}
-	slowed := l.delays[g.Decode]
+	slowed := s.delays[g.Decode]
 	var end func()
 	end = func() {
-		if more := l.delays[g.Decode] - slowed; more > 0 {
-			slowed = l.delays[g.Decode]
-			l.schedule(more, end)
+		if more := s.delays[g.Decode] - slowed; more > 0 {
+			slowed = s.delays[g.Decode]
+			s.schedule(more, end)
 			return
 		}
-		l.apply(placement.Release{ID: a.ID, Owner: "n"})
+		s.apply(placement.Release{ID: req.ID, Owner: "n"})
 	}
-	l.schedule(time.Duration(a.ExpectedTokens)*loadFigures.TokenTime, end)
+	s.schedule(time.Duration(req.ExpectedTokens)*loadFigures.TokenTime, end)
 }
 
 // burstRate is the rate of a zone in the large fleet's busiest hour, 23 requests a
@@ -249,12 +249,12 @@
 	}
 }
 
-// duringFault selects a share of the engines from 8 to 14 s.
-func duringFault(share float64) func(string, clock.Millis) bool {
+// duringFault selects a fraction of the engines from 8 to 14 s.
+func duringFault(fraction float64) func(string, clock.Millis) bool {
 	return func(engine string, now clock.Millis) bool {
 		var n int
 		_, err := fmt.Sscanf(engine, "e%d", &n)
-		return err == nil && now >= 8000 && now < 14_000 && float64(n%5) < 5*share
+		return err == nil && now >= 8000 && now < 14_000 && float64(n%5) < 5*fraction
 	}
 }
 
@@ -263,16 +263,16 @@
 // only over the duration of an answer. Requests that cannot be in time at a prefill
 // engine are then prefilled by decode engines, and engines that lose some answers are
 // used if the others have no capacity. Without both, with prefill at prefill engines
-// only and engines that failed blocked for a second, these shares were in time, in the
+// only and engines that failed blocked for a second, these fractions were in time, in the
 // order of the table: 1, 1, 0.999, 0.887, 0.886, 0.820, 0.998, 0.883; and up to 43
 // callers waited for two seconds or more before they were refused.
 func TestDecodeEnginesPrefillInBursts(t *testing.T) {
 	tests := []struct {
-		name              string
-		prefills, decodes int
-		times             float64
-		lossy, dark       float64 // shares of the engines
-		inTime            float64 // minimum share of requests
+		name               string
+		prefills, decodes  int
+		times              float64
+		lossy, unreachable float64 // fractions of the engines
+		inTime             float64 // minimum fraction of requests
 	}{
 		{"the usual rate", 5, 20, 1, 0, 0, 0.999},
 		{"a burst", 5, 20, 1.7, 0, 0, 0.99},
@@ -285,11 +285,11 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			l := newSimulation(t, test.prefills, test.decodes)
-			l.lossy, l.unreachable = duringFault(test.lossy), duringFault(test.dark)
-			got := l.run(25_000, burstRate(test.times))
-			t.Logf("%+v %.3f", got, got.share())
-			qt.Assert(t, got.share() >= test.inTime, qt.IsTrue, qt.Commentf("%+v", got))
+			s := newSimulation(t, test.prefills, test.decodes)
+			s.lossy, s.unreachable = duringFault(test.lossy), duringFault(test.unreachable)
+			got := s.run(25_000, burstRate(test.times))
+			t.Logf("%+v %.3f", got, got.inTimeFraction())
+			qt.Assert(t, got.inTimeFraction() >= test.inTime, qt.IsTrue, qt.Commentf("%+v", got))
 		})
 	}
 }
@@ -298,21 +298,21 @@
 	for _, engines := range []int{10, 25, 100, 400, 2000, 8000} {
 		for _, waiting := range []int{0, 10, 100, 1000} {
 			b.Run(fmt.Sprintf("engines=%d/waiting=%d", engines, waiting), func(b *testing.B) {
-				l := newSimulation(b, max(engines/5, 1), engines-max(engines/5, 1))
+				s := newSimulation(b, max(engines/5, 1), engines-max(engines/5, 1))
 				n := 0
-				request := func(patient bool) placement.Request {
+				request := func(mayQueue bool) placement.Request {
 					n++
 					return placement.Request{
 						ID: fmt.Sprint(n), Owner: "n", Service: "llm", Budget: loadTarget, QueueTime: 3 * loadTarget,
-						Prompt: meanPrompt, ExpectedTokens: meanAnswer, MaxTokens: 4 * meanAnswer, MayQueue: patient,
+						Prompt: meanPrompt, ExpectedTokens: meanAnswer, MaxTokens: 4 * meanAnswer, MayQueue: mayQueue,
 					}
 				}
-				for l.planner.Queued() < waiting && n < 20*engines+2*waiting {
-					l.planner.Apply(1000, request(true))
+				for s.planner.Queued() < waiting && n < 20*engines+2*waiting {
+					s.planner.Apply(1000, request(true))
 				}
-				b.ReportMetric(float64(l.planner.Queued()), "queued")
+				b.ReportMetric(float64(s.planner.Queued()), "queued")
 				for b.Loop() {
-					l.planner.Apply(1000, request(false))
+					s.planner.Apply(1000, request(false))
 				}
 			})
 		}
@@ -323,15 +323,15 @@
 func BenchmarkWaiting(b *testing.B) {
 	for _, waiting := range []int{10, 100} {
 		b.Run(fmt.Sprint(waiting), func(b *testing.B) {
-			l := newSimulation(b, 5, 20)
-			for n := 0; l.planner.Queued() < waiting; n++ {
-				l.planner.Apply(1000, placement.Request{
+			s := newSimulation(b, 5, 20)
+			for n := 0; s.planner.Queued() < waiting; n++ {
+				s.planner.Apply(1000, placement.Request{
 					ID: fmt.Sprint(n), Owner: "n", Service: "llm", Budget: loadTarget, QueueTime: 3 * loadTarget,
 					Prompt: meanPrompt, ExpectedTokens: meanAnswer, MaxTokens: 4 * meanAnswer, MayQueue: true,
 				})
 			}
 			for b.Loop() {
-				l.planner.Apply(1000, placement.Tick{})
+				s.planner.Apply(1000, placement.Tick{})
 			}
 		})
 	}
--- a/internal/placement/message.go
+++ b/internal/placement/message.go
@@ -48,8 +48,8 @@
 	PrefillTime    time.Duration `cbor:"6,keyasint"` // predicted time of the prefill
 	FirstEventTime time.Duration `cbor:"7,keyasint"` // predicted time from sending to the decode engine to the first event
 	ExpectedTokens int           `cbor:"8,keyasint"` // expected tokens of the answer
-	// NewEngines lists those of the engines that were added recently, in case the gateway does
-	// not know them yet.
+	// NewEngines lists those of the engines that were added recently, in case the
+	// gateway does not know them yet.
 	NewEngines []directory.Endpoint `cbor:"9,keyasint,omitempty"`
 }
 
@@ -87,8 +87,8 @@
 	Observed     *Observation `cbor:"5,keyasint,omitempty"`
 }
 
-// Observation holds a gateway's timings of an answer, from which planners learn the speed of
-// engines.
+// Observation holds a gateway's timings of an answer, from which planners learn the
+// speed of engines.
 type Observation struct {
 	FirstEventTime time.Duration `cbor:"1,keyasint"` // from sending to the decode engine to the first event
 	Tokens         int           `cbor:"2,keyasint"` // of all events after the first
@@ -128,8 +128,8 @@
 	Running        time.Duration `cbor:"5,keyasint"` // time since the grant
 }
 
-// Announcement lists all allocations of one gateway in a zone and renews them. Allocations
-// that it omits are freed.
+// Announcement lists all allocations of one gateway in a zone and renews them.
+// Allocations that it omits are freed.
 type Announcement struct {
 	Owner       string           `cbor:"1,keyasint"`
 	Zone        string           `cbor:"2,keyasint"`
--- a/internal/placement/new_engines_test.go
+++ b/internal/placement/new_engines_test.go
@@ -28,18 +28,18 @@
 			c := qt.New(t)
 			p := planner(t, 1)
 			p.Apply(later, placement.ViewUpdate{View: view(t, 2)})
-			a := request("1")
-			a.Exclude = []string{"d1"}
-			answers := p.Apply(test.at, a)
+			req := request("1")
+			req.Exclude = []string{"d1"}
+			answers := p.Apply(test.at, req)
 			c.Assert(answers, qt.HasLen, 1)
 			g := answers[0].Decision.Grant
 			c.Assert(g, qt.IsNotNil)
 			c.Assert(g.Decode, qt.Equals, "d2")
-			var told []string
+			var got []string
 			for _, e := range g.NewEngines {
-				told = append(told, e.ID)
+				got = append(got, e.ID)
 			}
-			c.Assert(told, qt.DeepEquals, test.included)
+			c.Assert(got, qt.DeepEquals, test.included)
 		})
 	}
 }
--- a/internal/placement/overload_test.go
+++ b/internal/placement/overload_test.go
@@ -41,16 +41,16 @@
 func TestOverloadDoesNotCollapse(t *testing.T) {
 	c := qt.New(t)
 	const tolerance, minServed = 0.95, 0.9
-	most := 0
+	best := 0
 	for _, times := range []float64{1, 1.5, 2, 2.5, 3, 4, 5, 6, 8} {
-		l := newSimulation(t, 5, 20)
-		before := l.run(overloadSteady, overloadRate(times))
-		during := l.run(overloadEnd, overloadRate(times))
-		ended := l.run(overloadCleared, overloadRate(times))
-		after := l.run(overloadObserved, overloadRate(times))
+		s := newSimulation(t, 5, 20)
+		before := s.run(overloadSteady, overloadRate(times))
+		during := s.run(overloadEnd, overloadRate(times))
+		ended := s.run(overloadCleared, overloadRate(times))
+		after := s.run(overloadObserved, overloadRate(times))
 		inTime := during.inTime - before.inTime
-		c.Check(float64(inTime) >= tolerance*float64(most), qt.IsTrue, qt.Commentf("%d in time at %g times, %d at less", inTime, times, most))
-		most = max(most, inTime)
+		c.Check(float64(inTime) >= tolerance*float64(best), qt.IsTrue, qt.Commentf("%d in time at %g times, %d at less", inTime, times, best))
+		best = max(best, inTime)
 		arrived := float64(usualRate * (overloadObserved - overloadCleared) / 1000)
 		c.Check(float64(after.inTime-ended.inTime) >= minServed*arrived, qt.IsTrue,
 			qt.Commentf("%d of %.0f in time after %g times", after.inTime-ended.inTime, arrived, times))
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -65,8 +65,8 @@
 	maxRetryAfter = 4 * time.Second
 )
 
-// Event is an input of a planner: [Request], [Progress], [LoadReport], [Release], [StageChange],
-// [Announcement], [ViewUpdate] or [Tick].
+// Event is an input of a planner: [Request], [Progress], [LoadReport], [Release],
+// [StageChange], [Announcement], [ViewUpdate] or [Tick].
 type Event interface{ event() }
 
 // ViewUpdate carries the current endpoints of the zone.
--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -82,20 +82,20 @@
 	p := planner(t, 2)
 	granted := map[string]int{}
 	for i := range 6 {
-		v := decision(p.Apply(1000, request(fmt.Sprint(i))), fmt.Sprint(i))
-		c.Assert(v.Grant, qt.IsNotNil)
-		c.Assert(v.Grant.Prefill, qt.Equals, "p1")
-		granted[v.Grant.Decode]++
+		d := decision(p.Apply(1000, request(fmt.Sprint(i))), fmt.Sprint(i))
+		c.Assert(d.Grant, qt.IsNotNil)
+		c.Assert(d.Grant.Prefill, qt.Equals, "p1")
+		granted[d.Grant.Decode]++
 	}
 	c.Assert(granted, qt.DeepEquals, map[string]int{"d1": 3, "d2": 3})
-	v := decision(p.Apply(1000, request("more")), "more")
-	c.Assert(v.Refusal, qt.IsNotNil)
-	c.Assert(v.Refusal.Reason, qt.Equals, placement.ReasonFull)
-	c.Assert(v.Refusal.RetryAfter > 0, qt.IsTrue)
+	d := decision(p.Apply(1000, request("more")), "more")
+	c.Assert(d.Refusal, qt.IsNotNil)
+	c.Assert(d.Refusal.Reason, qt.Equals, placement.ReasonFull)
+	c.Assert(d.Refusal.RetryAfter > 0, qt.IsTrue)
 	// Near the predicted end of an answer, queueing is worthwhile.
-	patient := request("patient")
-	patient.MayQueue = true
-	c.Assert(decision(p.Apply(4700, patient), "patient").Queued, qt.IsTrue)
+	queued := request("patient")
+	queued.MayQueue = true
+	c.Assert(decision(p.Apply(4700, queued), "patient").Queued, qt.IsTrue)
 	got := decision(p.Apply(4750, placement.Release{ID: "0", Owner: "n1"}), "patient")
 	c.Assert(got.Grant, qt.IsNotNil)
 }
@@ -106,9 +106,9 @@
 	for i := range 3 {
 		p.Apply(1000, request(fmt.Sprint(i)))
 	}
-	patient := request("patient")
-	patient.MayQueue = true
-	c.Assert(decision(p.Apply(4700, patient), "patient").Queued, qt.IsTrue)
+	queued := request("patient")
+	queued.MayQueue = true
+	c.Assert(decision(p.Apply(4700, queued), "patient").Queued, qt.IsTrue)
 	got := placement.Decision{}
 	for now := clock.Millis(4700); now < 5700 && got.Refusal == nil; now += 10 {
 		got = decision(p.Apply(now, placement.Tick{}), "patient")
@@ -142,8 +142,8 @@
 	})
 	t.Run("no engine at all", func(t *testing.T) {
 		p := planner(t, 0)
-		v := decision(p.Apply(1000, request("0")), "0")
-		qt.Assert(t, v.Refusal.Reason, qt.Equals, placement.ReasonNoEndpoint)
+		d := decision(p.Apply(1000, request("0")), "0")
+		qt.Assert(t, d.Refusal.Reason, qt.Equals, placement.ReasonNoEndpoint)
 	})
 }
 
@@ -199,10 +199,10 @@
 	p := planner(t, 4)
 	var last time.Duration
 	for i := range 6 {
-		v := decision(p.Apply(1000, request(fmt.Sprint(i))), fmt.Sprint(i))
-		c.Assert(v.Grant, qt.IsNotNil)
-		c.Assert(v.Grant.PrefillWait > last || i == 0, qt.IsTrue)
-		last = v.Grant.PrefillWait
+		d := decision(p.Apply(1000, request(fmt.Sprint(i))), fmt.Sprint(i))
+		c.Assert(d.Grant, qt.IsNotNil)
+		c.Assert(d.Grant.PrefillWait > last || i == 0, qt.IsTrue)
+		last = d.Grant.PrefillWait
 	}
 	late := request("late")
 	late.Budget = 200 * time.Millisecond // less than a decode engine needs to prefill the prompt
@@ -217,9 +217,9 @@
 	c.Assert(decision(p.Apply(1102, without), "x").Refusal.Reason, qt.Equals, placement.ReasonNoPrefill)
 	without.ID, without.Part = "y", placement.DecodeOnly
 	c.Assert(decision(p.Apply(1103, without), "y").Grant.Prefill, qt.Equals, "")
-	reading := request("z")
-	reading.Part = placement.PrefillOnly
-	c.Assert(decision(p.Apply(1104, reading), "z").Grant.Decode, qt.Equals, "")
+	prefillOnly := request("z")
+	prefillOnly.Part = placement.PrefillOnly
+	c.Assert(decision(p.Apply(1104, prefillOnly), "z").Grant.Decode, qt.Equals, "")
 }
 
 // Whatever gateways do, allocations never exceed an engine's memory except through
@@ -245,10 +245,10 @@
 			now += clock.Millis(rapid.IntRange(0, 300).Draw(rt, "time"))
 			switch rapid.IntRange(0, 2).Draw(rt, "event") {
 			case 0:
-				a := request(fmt.Sprint(next))
+				req := request(fmt.Sprint(next))
 				next++
-				a.MayQueue = rapid.Bool().Draw(rt, "patient")
-				take(p.Apply(now, a))
+				req.MayQueue = rapid.Bool().Draw(rt, "patient")
+				take(p.Apply(now, req))
 			case 1:
 				for id := range held {
 					delete(held, id)
@@ -287,7 +287,7 @@
 func TestLeftoverLoad(t *testing.T) {
 	tests := []struct {
 		name    string
-		loaded  placement.LoadReport
+		report  placement.LoadReport
 		after   time.Duration
 		part    placement.Part
 		prefill string // engines of the next request
@@ -308,19 +308,19 @@
 			if test.decode == "d1" { // of equal engines, the one with less load is used
 				p.Apply(1000, placement.LoadReport{Engine: "d2", UsedTokens: 1})
 			}
-			p.Apply(1000, test.loaded)
+			p.Apply(1000, test.report)
 			if test.after > leftoverExpired {
 				p.Apply(clock.Millis(1000).Add(test.after), placement.LoadReport{Engine: "d2", UsedTokens: 1})
 			}
-			a := request("r")
-			a.Part = test.part
-			v := decision(p.Apply(clock.Millis(1000).Add(test.after), a), "r")
+			req := request("r")
+			req.Part = test.part
+			d := decision(p.Apply(clock.Millis(1000).Add(test.after), req), "r")
 			if test.refused != "" {
-				c.Assert(v.Refusal.Reason, qt.Equals, test.refused)
+				c.Assert(d.Refusal.Reason, qt.Equals, test.refused)
 				return
 			}
-			c.Assert(v.Grant.Prefill, qt.Equals, test.prefill)
-			c.Assert(v.Grant.Decode, qt.Equals, test.decode)
+			c.Assert(d.Grant.Prefill, qt.Equals, test.prefill)
+			c.Assert(d.Grant.Decode, qt.Equals, test.decode)
 		})
 	}
 }
@@ -344,11 +344,11 @@
 			c := qt.New(t)
 			p := planner(t, 1)
 			for i := range test.run {
-				a := request(fmt.Sprint(i))
-				a.Prompt = test.prompt
-				c.Assert(decision(p.Apply(1000, a), a.ID).Grant, qt.IsNotNil)
+				req := request(fmt.Sprint(i))
+				req.Prompt = test.prompt
+				c.Assert(decision(p.Apply(1000, req), req.ID).Grant, qt.IsNotNil)
 			}
-			p.Apply(4300, placement.Announcement{Owner: "n1", Allocations: runningHolds(test.run)})
+			p.Apply(4300, placement.Announcement{Owner: "n1", Allocations: firstHeld(test.run)})
 			late := request("late") // memory is predicted to be free at 4800
 			late.MayQueue = true
 			c.Assert(decision(p.Apply(4300, late), "late").Queued, qt.IsTrue)
@@ -360,8 +360,8 @@
 	}
 }
 
-// runningHolds lists the first n requests of a test as still running.
-func runningHolds(n int) []placement.HeldAllocation {
+// firstHeld lists the first n requests of a test as still running.
+func firstHeld(n int) []placement.HeldAllocation {
 	var list []placement.HeldAllocation
 	for i := range n {
 		list = append(list, placement.HeldAllocation{ID: fmt.Sprint(i), Decode: "d1"})
--- a/internal/placement/predict.go
+++ b/internal/placement/predict.go
@@ -73,21 +73,21 @@
 
 // Learn updates the model from a gateway's timings of an answer. running is the number
 // of requests that the decode engine ran at the time, as far as known.
-func Learn(m *pace.Model, now clock.Millis, req Request, g Grant, running int, s Observation) {
+func Learn(m *pace.Model, now clock.Millis, req Request, g Grant, running int, o Observation) {
 	learn := func(quantity pace.Quantity, engine string, size, outcome float64) {
 		m.Learn(now, pace.Observation{Service: req.Service, Engine: engine, Quantity: quantity, Size: size, Outcome: outcome})
 	}
-	learn(firstEventQuantity(req.Part, g.Prefill != ""), g.Decode, float64(req.Prompt), clock.InMillis(s.FirstEventTime))
-	if s.Tokens >= minTimedTokens {
-		learn(pace.TokenTime, g.Decode, float64(running), clock.InMillis(s.DecodeTime)/float64(s.Tokens))
+	learn(firstEventQuantity(req.Part, g.Prefill != ""), g.Decode, float64(req.Prompt), clock.InMillis(o.FirstEventTime))
+	if o.Tokens >= minTimedTokens {
+		learn(pace.TokenTime, g.Decode, float64(running), clock.InMillis(o.DecodeTime)/float64(o.Tokens))
 	}
-	if s.TotalTokens == 0 {
+	if o.TotalTokens == 0 {
 		return
 	}
-	learn(pace.AnswerTokens, req.Route, 0, float64(s.TotalTokens))
+	learn(pace.AnswerTokens, req.Route, 0, float64(o.TotalTokens))
 	learn(pace.PromptTokens, req.Route, 0, float64(req.Prompt))
 	if req.ExpectedTokens > 0 {
-		learn(pace.AnswerLength, req.Route, float64(req.ExpectedTokens), float64(s.TotalTokens))
+		learn(pace.AnswerLength, req.Route, float64(req.ExpectedTokens), float64(o.TotalTokens))
 	}
 }
 
--- a/internal/placement/rejections.go
+++ b/internal/placement/rejections.go
@@ -8,14 +8,14 @@
 // requestClass holds the properties of requests that, apart from size, decide whether
 // they can be granted.
 type requestClass struct {
-	service           string
-	part              Part
-	late, once, final bool
-	reason            string
+	service                  string
+	part                     Part
+	late, finalDecode, final bool
+	reason                   string
 }
 
 func classOf(req Request, reason string) requestClass {
-	return requestClass{service: req.Service, part: req.Part, late: req.Late, once: req.FinalDecode, final: req.Final, reason: reason}
+	return requestClass{service: req.Service, part: req.Part, late: req.Late, finalDecode: req.FinalDecode, final: req.Final, reason: reason}
 }
 
 // rejection is the smallest request of a class that was not granted.
@@ -37,7 +37,8 @@
 }
 
 // covers reports whether a request cannot be granted because a smaller one was not, for
-// lack of memory or of a prefill engine that is free in time.
+// lack of memory or of a prefill engine that is free in time. The size of a late request
+// does not matter for the latter: late requests only use idle prefill engines.
 func (r rejections) covers(q queuedRequest) bool {
 	if q.restricted() {
 		return false
