--- a/internal/pace/figure.go
+++ b/internal/pace/figure.go
@@ -32,13 +32,13 @@
 	return list
 }
 
-// SetFigures takes the figures of another instance, which replace earlier ones from the same
-// source.
+// SetFigures takes the figures of another instance, which replace earlier ones from the
+// same source.
 func (m *Model) SetFigures(source string, list []Figure) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, f := range list {
-		if f.Quantity < 0 || f.Quantity >= actCount {
+		if f.Quantity < 0 || f.Quantity >= quantityCount {
 			continue // from a newer version with more quantities
 		}
 		e := m.estimator(f.Service, f.Quantity)
--- a/internal/pace/pace.go
+++ b/internal/pace/pace.go
@@ -28,7 +28,7 @@
 	AnswerLength                     // answers of a route: expected tokens, actual tokens; Engine is the route
 	PromptTokens                     // prompts of a route: 0, tokens
 	AnswerTokens                     // answers of a route, whatever was expected: 0, tokens
-	actCount
+	quantityCount
 )
 
 const (
@@ -47,7 +47,7 @@
 	minDeviation = 0.1
 	// maxPeers bounds the number of instances whose figures are kept.
 	maxPeers = 8
-	// highQuantile is the fraction of requests that take no longer than [Span.Most].
+	// highQuantile is the fraction of requests that take no longer than [Span.P90].
 	highQuantile = 0.9
 )
 
@@ -100,8 +100,8 @@
 	Median, P90 time.Duration
 }
 
-// Span predicts one of the times that depend on the prompt: [PrefillTime], [PrefillInterval], [FirstEventTime] or
-// [LocalPrefillTime].
+// Span predicts one of the times that depend on the prompt: [PrefillTime],
+// [PrefillInterval], [FirstEventTime] or [LocalPrefillTime].
 func (m *Model) Span(quantity Quantity, service, engine string, prompt int) Span {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -130,19 +130,19 @@
 	Median, Mean int
 }
 
-// AnswerLength predicts the length of an answer on a route from the length that the caller
-// expects, or 0. most is the maximum length, or 0 if unknown.
-func (m *Model) AnswerLength(service, route string, expected, most int) Tokens {
+// AnswerLength predicts the length of an answer on a route from the length that the
+// caller expects, or 0. maxTokens is the maximum length, or 0 if unknown.
+func (m *Model) AnswerLength(service, route string, expected, maxTokens int) Tokens {
 	if expected <= 0 {
-		expected = int(m.prior.LengthFraction * float64(most))
+		expected = int(m.prior.LengthFraction * float64(maxTokens))
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	e := m.estimator(service, AnswerLength)
 	predicted := math.Exp(e.predict(route, logTokens(float64(expected))))
 	mean := predicted * e.meanRatio()
-	if most > 0 {
-		predicted, mean = min(predicted, float64(most)), min(mean, float64(most))
+	if maxTokens > 0 {
+		predicted, mean = min(predicted, float64(maxTokens)), min(mean, float64(maxTokens))
 	}
 	return Tokens{Median: int(math.Round(predicted)), Mean: int(math.Round(mean))}
 }
@@ -197,12 +197,12 @@
 func median(list []float64) float64 { return quantile(list, 0.5) }
 
 // quantile sorts its argument, which must not be empty.
-func quantile(list []float64, part float64) float64 {
+func quantile(list []float64, fraction float64) float64 {
 	slices.Sort(list)
-	return quantileOfSorted(list, part)
+	return quantileOfSorted(list, fraction)
 }
 
 // quantileOfSorted is quantile for a sorted list.
-func quantileOfSorted(list []float64, part float64) float64 {
-	return list[min(int(part*float64(len(list))), len(list)-1)]
+func quantileOfSorted(list []float64, fraction float64) float64 {
+	return list[min(int(fraction*float64(len(list))), len(list)-1)]
 }
--- a/internal/pace/pace_test.go
+++ b/internal/pace/pace_test.go
@@ -26,9 +26,9 @@
 }
 
 // assertNear asserts that got is within a fraction of want.
-func assertNear(c *qt.C, got, want, part float64) {
+func assertNear(c *qt.C, got, want, fraction float64) {
 	c.Helper()
-	c.Assert(math.Abs(got-want) <= part*want, qt.IsTrue, qt.Commentf("got %.3f, want %.3f", got, want))
+	c.Assert(math.Abs(got-want) <= fraction*want, qt.IsTrue, qt.Commentf("got %.3f, want %.3f", got, want))
 }
 
 func TestLearnEngines(t *testing.T) {
@@ -146,8 +146,8 @@
 	c.Assert(m.AnswerLength("llm", "r", 4030, 500).Median, qt.Equals, 500)
 }
 
-// A process that has just started predicts by figures of peers, or from the store,
-// until it has enough observations.
+// A process that has just started predicts by the figures of peers until it has enough
+// observations.
 func TestPeerFigures(t *testing.T) {
 	c := qt.New(t)
 	old, r := pace.New(pace.ConservativePrior()), rand.New(rand.NewPCG(11, 12))
--- a/internal/pace/prior.go
+++ b/internal/pace/prior.go
@@ -17,9 +17,9 @@
 	LengthFraction    float64       // expected fraction of the maximum length if the caller gives no expectation
 }
 
-// ConservativePrior assumes engines at the slow end of those that serve models of some tens of
-// billions of parameters: assuming a too slow engine refuses a few requests in the
-// first second, assuming a too fast one wastes the prefills of their prompts.
+// ConservativePrior assumes engines at the slow end of those that serve models of some
+// tens of billions of parameters: assuming a too slow engine refuses a few requests in
+// the first second, assuming a too fast one wastes the prefills of their prompts.
 func ConservativePrior() Prior {
 	return Prior{
 		PrefillSetup:      40 * time.Millisecond,
