--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -43,7 +43,7 @@
 type Decision struct {
 	Admitted   bool
 	RetryAfter time.Duration // after which a refused caller may retry
-	Pass       float64       // fraction of requests to admit
+	AdmitRatio float64       // fraction of requests to admit
 	Used       float64       // units executed within a window by all instances, as of the latest update
 	Limit      quota.Limit
 	Age        time.Duration // of the latest update
@@ -51,8 +51,8 @@
 }
 
 // String lists the inputs of the decision, for the log.
-func (v Decision) String() string {
-	return fmt.Sprintf("used %.0f, limit %.0f/s, burst %.0f, pass %.2f, isolated %t", v.Used, v.Limit.Rate, v.Limit.Burst, v.Pass, v.Isolated)
+func (d Decision) String() string {
+	return fmt.Sprintf("used %.0f, limit %.0f/s, burst %.0f, pass %.2f, isolated %t", d.Used, d.Limit.Rate, d.Limit.Burst, d.AdmitRatio, d.Isolated)
 }
 
 // Gate admits requests of one instance. It is not safe for concurrent use.
@@ -67,10 +67,10 @@
 type state struct {
 	use        quota.Use
 	reported   quota.Use
-	pass       float64 // fraction of requests to admit, from the latest update
+	admitRatio float64 // fraction of requests to admit, from the latest update
 	used       float64
 	nearLimit  bool
-	credit     float64 // requests that may be admitted; each request adds pass
+	credit     float64 // requests that may be admitted; each request adds admitRatio
 	savedShare float64 // units accumulated while the instance is isolated
 	savedAt    clock.Millis
 }
@@ -83,7 +83,7 @@
 func (g *Gate) state(workspace string) *state {
 	s := g.workspaces[workspace]
 	if s == nil {
-		s = &state{use: quota.Use{Workspace: workspace}, pass: 1, credit: spreadEvenly(int(g.startedAt) + len(g.workspaces))}
+		s = &state{use: quota.Use{Workspace: workspace}, admitRatio: 1, credit: spreadEvenly(int(g.startedAt) + len(g.workspaces))}
 		g.workspaces[workspace] = s
 	}
 	return s
@@ -95,23 +95,23 @@
 	s := g.state(workspace)
 	s.use.Requested += units
 	until := g.trustedUntil(s)
-	v := Decision{Limit: l, Pass: s.pass, Used: s.used, Age: now.Sub(g.updatedAt), Isolated: now > until}
+	d := Decision{Limit: l, AdmitRatio: s.admitRatio, Used: s.used, Age: now.Sub(g.updatedAt), Isolated: now > until}
 	share := l.Rate / float64(max(instances, 1))
 	switch {
-	case v.Isolated:
-		v.Admitted, v.RetryAfter = s.admitByShare(now, until, share, units)
+	case d.Isolated:
+		d.Admitted, d.RetryAfter = s.admitByShare(now, until, share, units)
 	case g.updatedAt == 0:
-		v.Admitted = s.use.Ran <= startupShareFactor*share*now.Sub(g.startedAt).Seconds()
+		d.Admitted = s.use.Ran <= startupShareFactor*share*now.Sub(g.startedAt).Seconds()
 	default:
-		v.Admitted, v.RetryAfter = s.admitByRatio()
+		d.Admitted, d.RetryAfter = s.admitByRatio()
 	}
-	if v.Admitted {
+	if d.Admitted {
 		s.use.Ran += units
-		return v
+		return d
 	}
 	g.refused++
-	v.RetryAfter = g.jitter(min(max(v.RetryAfter, minRetryAfter), maxRetryAfter))
-	return v
+	d.RetryAfter = g.jitter(min(max(d.RetryAfter, minRetryAfter), maxRetryAfter))
+	return d
 }
 
 // Credit subtracts the units of an admitted request that was not executed.
@@ -135,16 +135,16 @@
 // requests and not units, so that large ones are not refused more often.
 func (s *state) admitByRatio() (bool, time.Duration) {
 	s.savedAt, s.savedShare = 0, 0
-	s.credit = min(s.credit+s.pass, 1+s.pass)
-	if s.pass >= 1 || s.credit >= 1 {
+	s.credit = min(s.credit+s.admitRatio, 1+s.admitRatio)
+	if s.admitRatio >= 1 || s.credit >= 1 {
 		s.credit = max(s.credit-1, 0)
 		return true, 0
 	}
-	if s.pass <= 0 {
+	if s.admitRatio <= 0 {
 		return false, maxRetryAfter
 	}
 	// The requests refused in a second take this long to execute at the admitted rate.
-	return false, time.Duration((1/s.pass - 1) * float64(time.Second))
+	return false, time.Duration((1/s.admitRatio - 1) * float64(time.Second))
 }
 
 // admitByShare admits a request if the instance has accumulated enough of its share of
@@ -168,15 +168,16 @@
 const goldenRatio = 0.6180339887
 
 func spreadEvenly(n int) float64 {
-	_, part := math.Modf(float64(n) * goldenRatio)
-	return part
+	_, fraction := math.Modf(float64(n) * goldenRatio)
+	return fraction
 }
 
 func (g *Gate) jitter(after time.Duration) time.Duration {
 	return time.Duration(float64(after) * (1 + jitter*(spreadEvenly(g.refused)-0.5)))
 }
 
-// Report returns what has changed since the last report, or everything if all is set.
+// Report returns the use of the workspaces for which it has changed since the last
+// report, or of all workspaces with any use if all is set.
 func (g *Gate) Report(all bool) []quota.Use {
 	var uses []quota.Use
 	for _, s := range g.workspaces {
@@ -189,19 +190,19 @@
 }
 
 // Update applies an update of a ledger. Workspaces that it omits are not limited.
-func (g *Gate) Update(now clock.Millis, words []quota.Status) {
+func (g *Gate) Update(now clock.Millis, statuses []quota.Status) {
 	g.updatedAt = now
 	for _, s := range g.workspaces {
-		s.pass, s.used, s.nearLimit = 1, 0, false
+		s.admitRatio, s.used, s.nearLimit = 1, 0, false
 	}
-	for _, w := range words {
-		s := g.state(w.Workspace)
-		s.pass, s.used, s.nearLimit = w.AdmitRatio, w.Used, true
+	for _, status := range statuses {
+		s := g.state(status.Workspace)
+		s.admitRatio, s.used, s.nearLimit = status.AdmitRatio, status.Used, true
 	}
 }
 
-// NearLimit reports whether some workspace was near its limit in the latest update, so that
-// reports should be frequent.
+// NearLimit reports whether some workspace was near its limit in the latest update, so
+// that reports should be frequent.
 func (g *Gate) NearLimit() bool {
 	for _, s := range g.workspaces {
 		if s.nearLimit {
--- a/internal/admission/gate_test.go
+++ b/internal/admission/gate_test.go
@@ -32,32 +32,32 @@
 // start of its instance, and otherwise enforces its share of the limit: 2,500 tokens a
 // second.
 func TestAdmissionModes(t *testing.T) {
-	word := func(pass float64) []quota.Status { return []quota.Status{{Workspace: "w", AdmitRatio: pass}} }
-	far := []quota.Status{}
+	nearLimit := func(pass float64) []quota.Status { return []quota.Status{{Workspace: "w", AdmitRatio: pass}} }
+	noneNear := []quota.Status{}
 	tests := []struct {
-		name  string
-		words []quota.Status // updates received at 1 s; nil: none
-		at    clock.Millis   // of the first of ten requests
-		apart time.Duration
-		least int
-		most  int
+		name        string
+		statuses    []quota.Status // the update received at 1 s; nil: none
+		at          clock.Millis   // of the first of ten requests
+		apart       time.Duration
+		minAdmitted int
+		maxAdmitted int
 	}{
 		{"just started", nil, 100, 100 * time.Millisecond, 1, 1},
 		{"no update, isolated since 1.5 s", nil, 2500, 100 * time.Millisecond, 1, 1},
-		{"all are admitted", far, 1000, 10 * time.Millisecond, 10, 10},
-		{"half are admitted", word(0.5), 1000, 10 * time.Millisecond, 4, 6},
-		{"none are admitted", word(0), 1000, 10 * time.Millisecond, 0, 0},
-		{"old update, isolated since 2 s", far, 3000, 100 * time.Millisecond, 1, 1},
-		{"near its limit, isolated since 1.4 s", word(1), 1500, 100 * time.Millisecond, 0, 0},
+		{"all are admitted", noneNear, 1000, 10 * time.Millisecond, 10, 10},
+		{"half are admitted", nearLimit(0.5), 1000, 10 * time.Millisecond, 4, 6},
+		{"none are admitted", nearLimit(0), 1000, 10 * time.Millisecond, 0, 0},
+		{"old update, isolated since 2 s", noneNear, 3000, 100 * time.Millisecond, 1, 1},
+		{"near its limit, isolated since 1.4 s", nearLimit(1), 1500, 100 * time.Millisecond, 0, 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			g := admission.New(0)
-			if test.words != nil {
-				g.Update(1000, test.words)
+			if test.statuses != nil {
+				g.Update(1000, test.statuses)
 			}
 			got := admitted(g, test.at, 10, test.apart)
-			qt.Assert(t, got >= test.least && got <= test.most, qt.IsTrue, qt.Commentf("%d", got))
+			qt.Assert(t, got >= test.minAdmitted && got <= test.maxAdmitted, qt.IsTrue, qt.Commentf("%d", got))
 		})
 	}
 }
@@ -119,8 +119,8 @@
 	g := admission.New(0)
 	g.Update(1000, []quota.Status{{Workspace: "w", AdmitRatio: 0, Used: 1_900_000}})
 	for range 3 {
-		v := g.Admit(1000, "w", limit, request, 80)
-		fmt.Println(v.Admitted, v.RetryAfter.Round(100*time.Millisecond))
+		d := g.Admit(1000, "w", limit, request, 80)
+		fmt.Println(d.Admitted, d.RetryAfter.Round(100*time.Millisecond))
 	}
 	// Output:
 	// false 4.2s
--- a/internal/balance/balancer.go
+++ b/internal/balance/balancer.go
@@ -296,7 +296,7 @@
 	length := min(initialEjection<<s.ejections, maxEjection)
 	s.ejections = min(s.ejections+1, 3)
 	s.ejectedUntil = now.Add(length)
-	s.failureRate = ejectFailureRate / 2 // a few more failures eject it again
+	s.failureRate = ejectFailureRate / 2 // three more failures in a row eject it again
 	return length
 }
 
--- a/internal/balance/balancer_test.go
+++ b/internal/balance/balancer_test.go
@@ -24,7 +24,7 @@
 	near := directory.Endpoint{ID: "near", Zone: "a", Slots: 2}
 	far := directory.Endpoint{ID: "far", Zone: "b", Slots: 2}
 	leaving := directory.Endpoint{ID: "leaving", Zone: "a", Slots: 2, State: directory.Draining}
-	reader := directory.Endpoint{ID: "reader", Zone: "a", Slots: 2, Stage: directory.Prefill}
+	prefill := directory.Endpoint{ID: "reader", Zone: "a", Slots: 2, Stage: directory.Prefill}
 	tests := []struct {
 		name    string
 		view    *directory.View
@@ -36,18 +36,18 @@
 		{"other zone when excluded", view(far, near), []string{"near"}, 0, "far"},
 		{"other zone when the own is full", view(far, near), nil, 4, "far"},
 		{"no draining endpoint", view(leaving, far), nil, 0, "far"},
-		{"no prefill engine", view(reader, far), nil, 0, "far"},
-		{"no endpoint at all", view(leaving, reader), nil, 0, ""},
+		{"no prefill engine", view(prefill, far), nil, 0, "far"},
+		{"no endpoint at all", view(leaving, prefill), nil, 0, ""},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			b := balance.New("a", nil)
-			ask := balance.Request{Service: "web", Stage: directory.Decode, Exclude: test.exclude}
+			req := balance.Request{Service: "web", Stage: directory.Decode, Exclude: test.exclude}
 			for range test.before {
-				b.Reserve(1000, test.view, ask)
+				b.Reserve(1000, test.view, req)
 			}
 			got := ""
-			if r := b.Reserve(1000, test.view, ask); r != nil {
+			if r := b.Reserve(1000, test.view, req); r != nil {
 				got = r.Endpoint.ID
 			}
 			qt.Assert(t, got, qt.Equals, test.want)
@@ -75,17 +75,17 @@
 			b := balance.New("a", nil)
 			only := view(directory.Endpoint{ID: "e1", Zone: "a", Slots: 2})
 			both := view(directory.Endpoint{ID: "e1", Zone: "a", Slots: 2}, directory.Endpoint{ID: "e2", Zone: "b", Slots: 2})
-			ask := balance.Request{Service: "web", Stage: directory.Decode}
+			req := balance.Request{Service: "web", Stage: directory.Decode}
 			now := clock.Millis(1000)
 			for _, result := range test.results {
-				r := b.Reserve(now, only, ask)
+				r := b.Reserve(now, only, req)
 				c.Assert(r, qt.IsNotNil)
 				r.Done(now, result)
 			}
-			r := b.Reserve(now, both, ask)
+			r := b.Reserve(now, both, req)
 			c.Assert(r.Endpoint.ID == "e2", qt.Equals, test.ejected)
 			r.Done(now, balance.Canceled)
-			later := b.Reserve(now.Add(20_000_000_000), both, ask)
+			later := b.Reserve(now.Add(20_000_000_000), both, req)
 			c.Assert(later.Endpoint.ID, qt.Equals, "e1")
 		})
 	}
@@ -97,14 +97,14 @@
 	c := qt.New(t)
 	b := balance.New("a", nil)
 	only := view(directory.Endpoint{ID: "e1", Zone: "a", Slots: 2})
-	ask := balance.Request{Service: "web", Stage: directory.Decode}
-	b.Reserve(1000, only, ask).Done(1250, balance.Unreachable)
-	c.Assert(b.Reserve(1300, only, ask), qt.IsNil)
-	probe := b.Reserve(1450, only, ask)
+	req := balance.Request{Service: "web", Stage: directory.Decode}
+	b.Reserve(1000, only, req).Done(1250, balance.Unreachable)
+	c.Assert(b.Reserve(1300, only, req), qt.IsNil)
+	probe := b.Reserve(1450, only, req)
 	c.Assert(probe, qt.IsNotNil)
-	c.Assert(b.Reserve(1451, only, ask), qt.IsNil)
+	c.Assert(b.Reserve(1451, only, req), qt.IsNil)
 	probe.Done(1460, balance.Succeeded)
-	c.Assert(b.Reserve(1461, only, ask), qt.IsNotNil)
+	c.Assert(b.Reserve(1461, only, req), qt.IsNotNil)
 }
 
 func repeat(r balance.Result, n int) []balance.Result {
@@ -122,11 +122,11 @@
 	near := directory.Endpoint{ID: "near", Zone: "a", Slots: 2, Service: "web"}
 	far := directory.Endpoint{ID: "far", Zone: "b", Slots: 2}
 	b := balance.New("a", nil)
-	ask := balance.Request{Service: "web", Stage: directory.Decode}
+	req := balance.Request{Service: "web", Stage: directory.Decode}
 	c.Assert(b.BackOff(1000, "near", 3*time.Second), qt.IsTrue)
 	c.Assert(b.BackOff(1500, "near", time.Second), qt.IsFalse) // ends before the known backoff
-	c.Assert(b.Reserve(1501, view(near, far), ask).Endpoint.ID, qt.Equals, "far")
-	c.Assert(b.Reserve(1501, view(near), ask), qt.IsNil)
+	c.Assert(b.Reserve(1501, view(near, far), req).Endpoint.ID, qt.Equals, "far")
+	c.Assert(b.Reserve(1501, view(near), req), qt.IsNil)
 	c.Assert(b.ReserveAt(1501, &near), qt.IsNil)
 	c.Assert(b.BackedOff(1501), qt.DeepEquals, []string{"near"})
 	for _, test := range []struct {
@@ -140,7 +140,7 @@
 		{view(near, far), map[string]time.Duration{"far": time.Second}, time.Second, true},
 		{view(near, far), map[string]time.Duration{"far": time.Minute}, 2500 * time.Millisecond, false},
 	} {
-		withheld := ask
+		withheld := req
 		withheld.Withheld = test.withheld
 		backoff, limited := b.BackoffLeft(1500, test.view, withheld)
 		c.Check(backoff, qt.Equals, test.backoff)
--- a/internal/staging/policy.go
+++ b/internal/staging/policy.go
@@ -114,8 +114,8 @@
 			continue
 		}
 		zones, total, changingCount := p.groupByZone(now, v.Service(name))
-		most := max(int(maxChangingFraction*float64(total)), 1) - changingCount
-		for _, o := range chooseOrders(zones, prefillShare(s, service, paces), s.uncertainty(), most) {
+		maxOrders := max(int(maxChangingFraction*float64(total)), 1) - changingCount
+		for _, o := range chooseOrders(zones, prefillFraction(s, service, paces), s.uncertainty(), maxOrders) {
 			p.pending[o.Endpoint.ID] = pendingOrder{stage: o.Stage, until: now.Add(service.Engine.StageChangeTime() + orderSlack)}
 			orders = append(orders, o)
 		}
@@ -123,35 +123,36 @@
 	return orders
 }
 
-// prefillShare is the share of engines that should prefill, in proportion to the engine
-// time per request at each stage. A decode engine is shared by as many requests as fit
-// into its memory and its slots.
-func prefillShare(s Sizes, service *route.Service, paces *pace.Model) float64 {
+// prefillFraction is the fraction of engines that should prefill, in proportion to the
+// engine time per request at each stage. A decode engine is shared by as many requests
+// as fit into its memory and its slots.
+func prefillFraction(s Sizes, service *route.Service, paces *pace.Model) float64 {
 	e := service.Engine
-	read := prefillCapacityFactor * paces.Median(pace.PrefillInterval, service.Name, pace.AnyEngine, int(s.Prompt)).Seconds()
+	prefill := prefillCapacityFactor * paces.Median(pace.PrefillInterval, service.Name, pace.AnyEngine, int(s.Prompt)).Seconds()
 	concurrent := float64(max(e.KVTokens, 1)) / max(s.Prompt+s.Output/2, 1)
 	if e.Slots > 0 {
 		concurrent = min(concurrent, float64(e.Slots))
 	}
 	concurrent = max(concurrent, 1)
 	decode := s.Output * paces.TokenTime(service.Name, pace.AnyEngine, int(concurrent)).Seconds() / concurrent
-	if read+decode == 0 {
+	if prefill+decode == 0 {
 		return 0.5
 	}
-	return read / (read + decode)
+	return prefill / (prefill + decode)
 }
 
 // zone holds the engines of one zone. Engines with a pending order count with their new
-// stage and are not candidates for another.
+// stage and are not candidates for another. decodeCandidates are prefill engines that
+// may switch to decode, prefillCandidates the reverse.
 type zone struct {
 	name                                string
 	prefill, decode                     int
 	decodeCandidates, prefillCandidates []*directory.Endpoint
 }
 
-// chooseOrders returns up to most orders that bring the split to share as far as its
-// uncertainty allows, if it deviates enough.
-func chooseOrders(zones []*zone, share, uncertainty float64, most int) []Order {
+// chooseOrders returns up to maxOrders orders that bring the fraction of prefill engines
+// to the given one, as far as its uncertainty allows, if the split deviates enough.
+func chooseOrders(zones []*zone, fraction, uncertainty float64, maxOrders int) []Order {
 	prefill, decode := 0, 0
 	for _, z := range zones {
 		prefill += z.prefill
@@ -161,13 +162,13 @@
 	if total < 2 {
 		return nil
 	}
-	target := min(max(share*float64(total), 1), float64(total-1))
+	target := min(max(fraction*float64(total), 1), float64(total-1))
 	margin := target * uncertainty
 	if math.Abs(float64(prefill)-target) < max(minDeviation, minDeviationFraction*float64(total))+margin {
 		return nil
 	}
 	var orders []Order
-	for len(orders) < most {
+	for len(orders) < maxOrders {
 		o := Order{Target: target, Current: prefill}
 		switch deviation := float64(prefill) - target; {
 		case deviation >= minDeviation+margin:
--- a/internal/staging/policy_test.go
+++ b/internal/staging/policy_test.go
@@ -203,12 +203,12 @@
 func TestWithdrawnOrdersAreRepeated(t *testing.T) {
 	c := qt.New(t)
 	p, v := staging.NewPolicy(), engines([2]int{2, 1}, [2]int{1, 2}, [2]int{1, 2})
-	seen, paces := sizes(20, 5200, 780), pace.New(figures)
-	first := p.Decide(1000, v, seen, paces)
+	observed, paces := sizes(20, 5200, 780), pace.New(figures)
+	first := p.Decide(1000, v, observed, paces)
 	c.Assert(first, qt.HasLen, 1)
-	c.Assert(p.Decide(2000, v, seen, paces), qt.HasLen, 0) // the order is pending
+	c.Assert(p.Decide(2000, v, observed, paces), qt.HasLen, 0) // the order is pending
 	p.Withdraw(first[0])
-	again := p.Decide(3000, v, seen, paces)
+	again := p.Decide(3000, v, observed, paces)
 	c.Assert(again, qt.HasLen, 1)
 	c.Assert(again[0].Endpoint.ID, qt.Equals, first[0].Endpoint.ID)
 }
--- a/internal/staging/runner.go
+++ b/internal/staging/runner.go
@@ -73,8 +73,8 @@
 }
 
 // send sends orders. An order to an engine that must be avoided is withdrawn and
-// decided again a second later: if it stayed pending, it would be missing for the
-// duration of a stage change.
+// decided again a second later: if it stayed pending, no engine would change in its
+// place until it expires, for longer than a stage change takes.
 func (r *Runner) send(ctx context.Context, policy *Policy, orders []Order, fence int64) {
 	var group sync.WaitGroup
 	for _, o := range orders {
--- a/internal/staging/runner_test.go
+++ b/internal/staging/runner_test.go
@@ -15,14 +15,14 @@
 
 // An engine that must be avoided gets no order, and its change is not announced.
 func TestNoOrdersToAvoidedEngines(t *testing.T) {
-	for _, spared := range []bool{true, false} {
+	for _, avoided := range []bool{true, false} {
 		c := qt.New(t)
-		sent, closed := 0, 0
+		sent, announced := 0, 0
 		log := eventlog.Open(io.Discard, "n1")
 		r := &Runner{
 			Leadership: &leadership.Leadership{Name: "n1"}, Log: log, Scope: tally.NoopScope,
-			Avoid:         func(context.Context, *directory.Endpoint) bool { return spared },
-			StageChanging: func(Order) { closed++ },
+			Avoid:         func(context.Context, *directory.Endpoint) bool { return avoided },
+			StageChanging: func(Order) { announced++ },
 			Send:          func(context.Context, Order, string, int64) error { sent++; return nil },
 		}
 		o := Order{Endpoint: &directory.Endpoint{ID: "p1"}, Stage: directory.Decode}
@@ -30,12 +30,12 @@
 		p.pending["p1"] = pendingOrder{stage: directory.Decode, until: 1_000_000}
 		r.send(t.Context(), p, []Order{o}, 1)
 		want := 1
-		if spared {
+		if avoided {
 			want = 0
 		}
 		c.Check(sent, qt.Equals, want)
-		c.Check(closed, qt.Equals, want)
-		c.Check(p.pending, qt.HasLen, want) // pending
+		c.Check(announced, qt.Equals, want)
+		c.Check(p.pending, qt.HasLen, want)
 		c.Check(log.Close(), qt.IsNil)
 	}
 }
