--- a/internal/broker/announce.go
+++ b/internal/broker/announce.go
@@ -74,7 +74,7 @@
 	for _, p := range b.places {
 		if p.Zone == zone {
 			a.Allocations = append(a.Allocations, placement.HeldAllocation{
-				ID: p.ID, Decode: p.Decode, Prompt: p.ask.Prompt, ExpectedTokens: p.ExpectedTokens, Running: now.Sub(p.grantedAt),
+				ID: p.ID, Decode: p.Decode, Prompt: p.request.Prompt, ExpectedTokens: p.ExpectedTokens, Running: now.Sub(p.grantedAt),
 			})
 		}
 	}
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -29,12 +29,12 @@
 
 // Topics of messages between instances.
 const (
-	topicAsk      = "place.ask"
-	topicDecision = "place.verdict"
-	topicProgress = "place.progress"
-	topicRelease  = "place.release"
-	topicClosed   = "place.closed"
-	topicAnnounce = "place.announce"
+	topicRequest     = "place.ask"
+	topicDecision    = "place.verdict"
+	topicProgress    = "place.progress"
+	topicRelease     = "place.release"
+	topicStageChange = "place.closed"
+	topicAnnounce    = "place.announce"
 )
 
 // rolePlanner is the role of assigning a zone's engines.
@@ -93,7 +93,7 @@
 	// and the time until the first of them may again.
 	Exhausted func() (engines []string, next time.Duration)
 	// OnAsk is called with each request for a place that reaches this instance's planner.
-	OnAsk func(a placement.Request)
+	OnAsk func(req placement.Request)
 }
 
 // Broker finds places at engines. Lock order: plannerMu, then mu.
@@ -112,7 +112,7 @@
 	usedAt          map[string]clock.Millis   // by zone
 	responded       map[string]bool           // planners that have answered, by certificate fingerprint
 	loadRequestedAt map[string]clock.Millis   // when an engine was asked for its load, by ID
-	askerAddresses  map[string]netip.AddrPort // where decisions are sent, by instance name
+	ownerAddresses  map[string]netip.AddrPort // where decisions are sent, by instance name
 	startedAt       clock.Millis              // start of this process
 
 	announceCount int // used by announce only
@@ -123,7 +123,7 @@
 	placement.Grant
 	Zone         string
 	prefillPlace *Place // place of the prefill, if another zone's planner assigned it
-	ask          placement.Request
+	request      placement.Request
 	planner      roster.Instance
 	grantedAt    clock.Millis
 }
@@ -134,20 +134,20 @@
 		Options: o, ticker: ticker.New(busyTickInterval, idleTickInterval), planner: placement.New(o.Zone, o.Name, o.Paces), view: directory.NewView(nil),
 		places: map[string]*Place{}, pending: map[string]chan placement.Decision{},
 		backoffs: map[string]backoff{}, usedAt: map[string]clock.Millis{}, responded: map[string]bool{},
-		loadRequestedAt: map[string]clock.Millis{}, askerAddresses: map[string]netip.AddrPort{}, startedAt: o.Now(),
+		loadRequestedAt: map[string]clock.Millis{}, ownerAddresses: map[string]netip.AddrPort{}, startedAt: o.Now(),
 	}
 }
 
 // Register adds the handlers of messages from other instances.
 func (b *Broker) Register(r *message.Router) {
-	peer.HandleCall(r, b.Transport, topicAsk, func(_ context.Context, s peer.Sender, a placement.Request) placement.Decision {
-		b.rememberAsker(a.Owner, s.Address)
-		return b.decide(a)
+	peer.HandleCall(r, b.Transport, topicRequest, func(_ context.Context, s peer.Sender, req placement.Request) placement.Decision {
+		b.rememberOwner(req.Owner, s.Address)
+		return b.decide(req)
 	})
-	peer.Handle(r, b.Transport, topicDecision, func(_ peer.Sender, v placement.Decision) { b.deliver(v) })
+	peer.Handle(r, b.Transport, topicDecision, func(_ peer.Sender, d placement.Decision) { b.deliver(d) })
 	peer.Handle(r, b.Transport, topicProgress, func(_ peer.Sender, m placement.Progress) { b.handleEvent(m) })
 	peer.Handle(r, b.Transport, topicRelease, func(_ peer.Sender, m placement.Release) { b.handleRelease(m) })
-	peer.Handle(r, b.Transport, topicClosed, func(_ peer.Sender, m placement.StageChange) { b.handleEvent(m) })
+	peer.Handle(r, b.Transport, topicStageChange, func(_ peer.Sender, m placement.StageChange) { b.handleEvent(m) })
 	peer.Handle(r, b.Transport, topicAnnounce, func(_ peer.Sender, m placement.Announcement) { b.handleAnnounce(m) })
 }
 
@@ -180,73 +180,74 @@
 }
 
 // findInZone asks the planner of a zone, and the next one if it does not respond.
-func (b *Broker) findInZone(ctx context.Context, zone string, a placement.Request) (*Place, *placement.Refusal) {
+func (b *Broker) findInZone(ctx context.Context, zone string, req placement.Request) (*Place, *placement.Refusal) {
 	silent := 0
 	for _, i := range b.Roster.Ranked(zone, rolePlanner) {
 		if b.isBackingOff(i) || silent == maxSilentPlanners && i.Name != b.Name {
 			continue
 		}
 		if i.Name == b.Name {
-			return b.findLocal(ctx, a)
+			return b.findLocal(ctx, req)
 		}
-		v, answered := b.askPlanner(ctx, i, a)
+		d, answered := b.askPlanner(ctx, i, req)
 		if answered {
 			b.markAlive(i)
-			return b.placeOrRefusal(i, zone, a, v)
+			return b.placeOrRefusal(i, zone, req, d)
 		}
 		if ctx.Err() != nil {
 			return nil, &placement.Refusal{Reason: placement.ReasonMoved, RetryAfter: minBackoff}
 		}
 		silent++
 		b.markSilent(i)
-		b.send(i.Address, topicRelease, placement.Release{ID: a.ID, Owner: b.Name})
+		b.send(i.Address, topicRelease, placement.Release{ID: req.ID, Owner: b.Name})
 	}
 	if zone == b.Zone {
 		b.handleEvent(b.newAnnouncement(zone))
-		return b.findLocal(ctx, a)
+		return b.findLocal(ctx, req)
 	}
 	return nil, &placement.Refusal{Reason: placement.ReasonNoEndpoint, RetryAfter: minBackoff}
 }
 
-func (b *Broker) findLocal(ctx context.Context, a placement.Request) (*Place, *placement.Refusal) {
-	waiting := b.addWaiter(a.ID)
-	defer b.removeWaiter(a.ID)
-	v := b.decide(a)
-	if v.Queued {
-		v = b.awaitDecision(ctx, waiting, a)
+func (b *Broker) findLocal(ctx context.Context, req placement.Request) (*Place, *placement.Refusal) {
+	waiting := b.addWaiter(req.ID)
+	defer b.removeWaiter(req.ID)
+	d := b.decide(req)
+	if d.Queued {
+		d = b.awaitDecision(ctx, waiting, req)
 	}
-	return b.placeOrRefusal(roster.Instance{Name: b.Name}, b.Zone, a, v)
+	return b.placeOrRefusal(roster.Instance{Name: b.Name}, b.Zone, req, d)
 }
 
 // askPlanner asks one planner. It returns false if the planner did not answer in time.
-func (b *Broker) askPlanner(ctx context.Context, i roster.Instance, a placement.Request) (placement.Decision, bool) {
-	waiting := b.addWaiter(a.ID)
-	defer b.removeWaiter(a.ID)
+func (b *Broker) askPlanner(ctx context.Context, i roster.Instance, req placement.Request) (placement.Decision, bool) {
+	waiting := b.addWaiter(req.ID)
+	defer b.removeWaiter(req.ID)
 	first, cancel := context.WithTimeout(ctx, b.timeoutFor(i))
 	defer cancel()
-	v, err := peer.Call[placement.Request, placement.Decision](first, b.Transport, i.Address, topicAsk, a)
+	d, err := peer.Call[placement.Request, placement.Decision](first, b.Transport, i.Address, topicRequest, req)
 	if err != nil {
 		return placement.Decision{}, false
 	}
-	if v.Queued {
-		v = b.awaitDecision(ctx, waiting, a)
+	if d.Queued {
+		d = b.awaitDecision(ctx, waiting, req)
 	}
-	return v, true
+	return d, true
 }
 
 // Release frees a place. full names an engine that rejected the request, failed one that
-// failed; both may be empty. seen is the timing of the response, nil if it did not begin.
-func (b *Broker) Release(p *Place, full, failed string, seen *placement.Observation) {
+// failed; both may be empty. observed is the timing of the response, nil if it did not
+// begin.
+func (b *Broker) Release(p *Place, full, failed string, observed *placement.Observation) {
 	if p.prefillPlace != nil {
 		b.Release(p.prefillPlace, full, failed, nil)
 	}
 	b.mu.Lock()
 	delete(b.places, p.ID)
 	b.mu.Unlock()
-	if seen != nil && p.planner.Name != b.Name {
-		placement.Learn(b.Paces, b.Now(), p.ask, p.Grant, 0, *seen)
+	if observed != nil && p.planner.Name != b.Name {
+		placement.Learn(b.Paces, b.Now(), p.request, p.Grant, 0, *observed)
 	}
-	b.sendRelease(p.planner, placement.Release{ID: p.ID, Owner: b.Name, FullEngine: full, FailedEngine: failed, Observed: seen})
+	b.sendRelease(p.planner, placement.Release{ID: p.ID, Owner: b.Name, FullEngine: full, FailedEngine: failed, Observed: observed})
 }
 
 // ReportDecodeStart reports the load that a decode engine stated when it began to answer.
@@ -254,16 +255,16 @@
 	b.sendProgress(p, placement.Progress{ID: p.ID, Running: running})
 }
 
-// ReportPrefillDone reports that the prefill engine has finished the prefill, the load it stated, and
-// how long the prefill took.
+// ReportPrefillDone reports that the prefill engine has finished the prefill, the load it
+// stated, and how long the prefill took.
 func (b *Broker) ReportPrefillDone(p *Place, running int, took time.Duration) {
 	if p.prefillPlace != nil {
 		p = p.prefillPlace
 	}
 	if p.PrefillWait == 0 && p.planner.Name != b.Name {
 		b.Paces.Learn(b.Now(), pace.Observation{
-			Service: p.ask.Service, Engine: p.Prefill, Quantity: pace.PrefillTime,
-			Size: float64(p.ask.Prompt), Outcome: clock.InMillis(took),
+			Service: p.request.Service, Engine: p.Prefill, Quantity: pace.PrefillTime,
+			Size: float64(p.request.Prompt), Outcome: clock.InMillis(took),
 		})
 	}
 	b.sendProgress(p, placement.Progress{ID: p.ID, Running: running, Prefilled: true, Took: took})
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -72,16 +72,16 @@
 // time is over and is refused.
 func TestDecisionReachesInstanceOutsideRoster(t *testing.T) {
 	c := qt.New(t)
-	planner, entry := startNode(t, "n1", "a"), startNode(t, "n2", "a")
-	entry.Roster.Update(planner.self) // the planner's roster stays empty
-	ask := placement.Request{ID: "first", Service: "llm", Prompt: 5000, ExpectedTokens: 100, Budget: time.Minute}
-	first, refusal := planner.findLocal(context.Background(), ask)
+	planner, gateway := startNode(t, "n1", "a"), startNode(t, "n2", "a")
+	gateway.Roster.Update(planner.self) // the planner's roster stays empty
+	req := placement.Request{ID: "first", Service: "llm", Prompt: 5000, ExpectedTokens: 100, Budget: time.Minute}
+	first, refusal := planner.findLocal(context.Background(), req)
 	c.Assert(refusal, qt.IsNil)
 	found := make(chan *Place, 1)
 	go func() {
-		second := ask
+		second := req
 		second.ID, second.Owner, second.MayQueue = "second", "n2", true
-		place, _ := entry.findInZone(context.Background(), "a", second)
+		place, _ := gateway.findInZone(context.Background(), "a", second)
 		found <- place
 	}()
 	for planner.queued() == 0 {
@@ -103,16 +103,16 @@
 func TestFullEngineIsAskedForItsLoad(t *testing.T) {
 	c := qt.New(t)
 	planner := startNode(t, "n1", "a")
-	ask := placement.Request{ID: "first", Service: "llm", Prompt: 2000, ExpectedTokens: 100, Budget: time.Minute}
-	first, _ := planner.findLocal(context.Background(), ask)
+	req := placement.Request{ID: "first", Service: "llm", Prompt: 2000, ExpectedTokens: 100, Budget: time.Minute}
+	first, _ := planner.findLocal(context.Background(), req)
 	c.Assert(first.Decode, qt.Equals, "da")
 	planner.Release(first, "da", "", nil)
 	planner.handleRelease(placement.Release{ID: "other", FullEngine: "da"}) // too soon: not asked again
 	c.Assert(<-loadRequests, qt.Equals, "da")
 	planner.now.Add(2 * fullBackoff.Milliseconds())
 	for i := 0; ; i++ { // until the load has arrived
-		ask.ID = fmt.Sprint("again", i)
-		place, refusal := planner.findLocal(context.Background(), ask)
+		req.ID = fmt.Sprint("again", i)
+		place, refusal := planner.findLocal(context.Background(), req)
 		if place == nil {
 			c.Assert(refusal.Reason, qt.Equals, placement.ReasonFull)
 			break
--- a/internal/broker/decision.go
+++ b/internal/broker/decision.go
@@ -10,12 +10,12 @@
 
 // awaitDecision waits for the decision on a queued request. It returns an empty one if none
 // comes in time.
-func (b *Broker) awaitDecision(ctx context.Context, waiting chan placement.Decision, a placement.Request) placement.Decision {
-	timer := time.NewTimer(max(a.Budget, a.QueueTime) + decisionGrace)
+func (b *Broker) awaitDecision(ctx context.Context, waiting chan placement.Decision, req placement.Request) placement.Decision {
+	timer := time.NewTimer(max(req.Budget, req.QueueTime) + decisionGrace)
 	defer timer.Stop()
 	select {
-	case v := <-waiting:
-		return v
+	case d := <-waiting:
+		return d
 	case <-ctx.Done():
 	case <-timer.C:
 	}
@@ -23,20 +23,20 @@
 }
 
 // placeOrRefusal converts a planner's decision into a place or a refusal.
-func (b *Broker) placeOrRefusal(i roster.Instance, zone string, a placement.Request, v placement.Decision) (*Place, *placement.Refusal) {
+func (b *Broker) placeOrRefusal(i roster.Instance, zone string, req placement.Request, d placement.Decision) (*Place, *placement.Refusal) {
 	switch {
-	case v.Grant != nil:
-		p := &Place{Grant: *v.Grant, Zone: zone, ask: a, planner: i, grantedAt: b.Now()}
+	case d.Grant != nil:
+		p := &Place{Grant: *d.Grant, Zone: zone, request: req, planner: i, grantedAt: b.Now()}
 		b.mu.Lock()
-		b.places[a.ID] = p
+		b.places[req.ID] = p
 		b.usedAt[zone] = b.Now()
 		b.mu.Unlock()
 		return p, nil
-	case v.Refusal != nil:
-		return nil, v.Refusal
+	case d.Refusal != nil:
+		return nil, d.Refusal
 	default: // no decision in time
-		b.sendRelease(i, placement.Release{ID: a.ID, Owner: b.Name})
-		return nil, &placement.Refusal{ID: a.ID, Reason: placement.ReasonMoved, RetryAfter: minBackoff}
+		b.sendRelease(i, placement.Release{ID: req.ID, Owner: b.Name})
+		return nil, &placement.Refusal{ID: req.ID, Reason: placement.ReasonMoved, RetryAfter: minBackoff}
 	}
 }
 
@@ -54,13 +54,13 @@
 	delete(b.pending, id)
 }
 
-func (b *Broker) deliver(v placement.Decision) {
+func (b *Broker) deliver(d placement.Decision) {
 	id := ""
 	switch {
-	case v.Grant != nil:
-		id = v.Grant.ID
-	case v.Refusal != nil:
-		id = v.Refusal.ID
+	case d.Grant != nil:
+		id = d.Grant.ID
+	case d.Refusal != nil:
+		id = d.Refusal.ID
 	}
 	b.mu.Lock()
 	waiting := b.pending[id]
@@ -70,7 +70,7 @@
 		return // the next announcement frees the place that it granted
 	}
 	select {
-	case waiting <- v:
+	case waiting <- d:
 	default:
 	}
 }
--- a/internal/broker/find.go
+++ b/internal/broker/find.go
@@ -10,25 +10,25 @@
 
 // Find requests a place for a whole request in an area. It tries in turn, until one
 // succeeds: prefill and decode in this instance's zone; both in another zone; prefill in
-// one zone and decode in another; if no zone has a prefill engine, a decode engine that
-// computes the prefill too; and finally, waiting in the queue of the zone that promises to
-// have room soonest.
-func (b *Broker) Find(ctx context.Context, a placement.Request, area residency.Area) (*Place, *placement.Refusal) {
-	a.Owner = b.Name
+// one zone and decode in another; if no zone has capacity to wait for, but some lacks only
+// a prefill engine, a decode engine that computes the prefill too; and finally, waiting in
+// the queue of the zone that promises capacity soonest.
+func (b *Broker) Find(ctx context.Context, req placement.Request, area residency.Area) (*Place, *placement.Refusal) {
+	req.Owner = b.Name
 	zones := slices.DeleteFunc(b.zones(), func(zone string) bool { return !area.Allows(zone) })
 	if len(zones) == 0 {
 		return nil, &placement.Refusal{Reason: placement.ReasonNoZone, RetryAfter: minBackoff}
 	}
-	s := b.survey(ctx, zones, a)
+	s := b.survey(ctx, zones, req)
 	if s.place != nil {
 		return s.place, nil
 	}
-	if p := b.findSplit(ctx, zones, s.noPrefill, a); p != nil {
+	if p := b.findSplit(ctx, zones, s.noPrefill, req); p != nil {
 		return p, nil
 	}
 	if s.best.Reason == placement.ReasonNoPrefill {
-		a.Part = placement.Whole
-		s = b.survey(ctx, zones, a)
+		req.Part = placement.Whole
+		s = b.survey(ctx, zones, req)
 	}
 	if s.place != nil {
 		return s.place, nil
@@ -36,8 +36,8 @@
 	if !worthWaiting(s.best) {
 		return nil, s.best
 	}
-	a.MayQueue = true
-	return b.findInZone(ctx, s.zone, a)
+	req.MayQueue = true
+	return b.findInZone(ctx, s.zone, req)
 }
 
 // surveyResult is the outcome of asking the planners of all zones for a place.
@@ -48,10 +48,10 @@
 	noPrefill []string           // zones that could decode but have no prefill engine available
 }
 
-func (b *Broker) survey(ctx context.Context, zones []string, a placement.Request) surveyResult {
+func (b *Broker) survey(ctx context.Context, zones []string, req placement.Request) surveyResult {
 	var s surveyResult
 	for _, zone := range zones {
-		place, refusal := b.findInZone(ctx, zone, a)
+		place, refusal := b.findInZone(ctx, zone, req)
 		if place != nil {
 			return surveyResult{place: place}
 		}
@@ -66,11 +66,11 @@
 }
 
 // findSplit places the prefill in one zone and the decode in another.
-func (b *Broker) findSplit(ctx context.Context, zones, decodeZones []string, a placement.Request) *Place {
+func (b *Broker) findSplit(ctx context.Context, zones, decodeZones []string, req placement.Request) *Place {
 	for _, zone := range decodeZones {
-		decode, prefill := a, a
-		decode.Part, decode.ID = placement.DecodeOnly, a.ID+"/decode"
-		prefill.Part, prefill.ID = placement.PrefillOnly, a.ID+"/read"
+		decode, prefill := req, req
+		decode.Part, decode.ID = placement.DecodeOnly, req.ID+"/decode"
+		prefill.Part, prefill.ID = placement.PrefillOnly, req.ID+"/read"
 		place, _ := b.findInZone(ctx, zone, decode)
 		if place == nil {
 			continue
--- a/internal/broker/planner.go
+++ b/internal/broker/planner.go
@@ -24,10 +24,10 @@
 	return b.planner.Queued() > 0
 }
 
-// ReportClosed reports to the planners of a zone that an engine accepts nothing until its stage
-// has changed.
+// ReportClosed reports to the planners of a zone that an engine accepts nothing until its
+// stage has changed.
 func (b *Broker) ReportClosed(zone, engine string) {
-	b.notifyPlanners(zone, topicClosed, placement.StageChange{Engine: engine})
+	b.notifyPlanners(zone, topicStageChange, placement.StageChange{Engine: engine})
 }
 
 // IsPlanner reports whether this instance is the current planner of its zone.
@@ -38,20 +38,20 @@
 
 // decide asks the local planner and returns its first decision on this request. Decisions
 // on other requests are sent to their instances.
-func (b *Broker) decide(a placement.Request) placement.Decision {
-	b.OnAsk(a)
-	spent, next := b.Exhausted()
-	a.Exclude = append(a.Exclude, spent...)
+func (b *Broker) decide(req placement.Request) placement.Decision {
+	b.OnAsk(req)
+	exhausted, next := b.Exhausted()
+	req.Exclude = append(req.Exclude, exhausted...)
 	first := placement.Decision{Queued: true} // a request repeated while it is queued
 	found := false
-	for _, answer := range b.applyEvent(a) {
-		if answer.ID == a.ID && !found {
+	for _, answer := range b.applyEvent(req) {
+		if answer.ID == req.ID && !found {
 			first, found = answer.Decision, true
 			continue
 		}
 		b.sendDecision(answer)
 	}
-	if r := first.Refusal; r != nil && r.Reason == placement.ReasonNoEndpoint && len(spent) > 0 {
+	if r := first.Refusal; r != nil && r.Reason == placement.ReasonNoEndpoint && len(exhausted) > 0 {
 		r.Reason, r.RetryAfter = placement.ReasonLimited, max(r.RetryAfter, next)
 	}
 	return first
@@ -83,13 +83,13 @@
 	return answers
 }
 
-// rememberAsker records the address of an instance that asks for a place. Its decision may
+// rememberOwner records the address of an instance that requests a place. Its decision may
 // come later, and an instance whose entry in the store has expired, for example because
 // only the store is unreachable for it, is no longer in the roster by then.
-func (b *Broker) rememberAsker(owner string, address netip.AddrPort) {
+func (b *Broker) rememberOwner(owner string, address netip.AddrPort) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.askerAddresses[owner] = address
+	b.ownerAddresses[owner] = address
 }
 
 func (b *Broker) sendDecision(a placement.Answer) {
@@ -98,7 +98,7 @@
 		return
 	}
 	b.mu.Lock()
-	address, known := b.askerAddresses[a.Owner]
+	address, known := b.ownerAddresses[a.Owner]
 	b.mu.Unlock()
 	if known {
 		b.send(address, topicDecision, a.Decision)
