--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -16,15 +16,15 @@
 // startedLongAgo is the start of the processes in these tests.
 const startedLongAgo = clock.Millis(-100_000)
 
-// A restarted process does not know what it spent before. Both runs together must stay
-// within the share, and a window later the whole share is available.
+// A restarted process does not know what it spent before. Both incarnations together
+// must stay within the share, and a window later the whole share is available.
 func TestRestartWithinWindow(t *testing.T) {
 	const shares, requests = 8, 20
 	c := qt.New(t)
 	spent := 0
 	startedAt := startedLongAgo
-	for run := range 2 {
-		now := clock.Millis(5_000 + 1_000*int64(run))
+	for incarnation := range 2 {
+		now := clock.Millis(5_000 + 1_000*int64(incarnation))
 		b := budget.New(rule, shares, startedAt)
 		for range requests {
 			b.CountRequest(now)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -137,7 +137,9 @@
 	g.started = g.now()
 	g.roster = roster.New(g.now)
 	g.pool = uplink.NewPool(g.counters.Scope, g.now)
-	g.pool.OnResponse = func(life string, head *http.Response) { g.handleNotice(life, g.platform.Dialect.ReadNotice(head)) }
+	g.pool.OnResponse = func(incarnation string, head *http.Response) {
+		g.handleNotice(incarnation, g.platform.Dialect.ReadNotice(head))
+	}
 	g.openFeed() // first, because a peer's certificate may arrive as soon as the transport listens
 	if err := g.openPeers(); err != nil {
 		return nil, err
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -14,22 +14,22 @@
 // errAvoided is returned for a call that was not made because its engine is avoided.
 var errAvoided = Error.New("the engine is avoided for now")
 
-// handleNotice applies a notice in a response of one life of an endpoint.
-func (g *Gateway) handleNotice(life string, n notice.Notice) {
+// handleNotice applies a notice in a response of one incarnation of an endpoint.
+func (g *Gateway) handleNotice(incarnation string, n notice.Notice) {
 	if n.Leaving {
 		g.counters.Scope.Counter("answers_leaving").Inc(1)
-		g.feed.Apply(directory.Leaving{ID: life})
+		g.feed.Apply(directory.Leaving{ID: incarnation})
 	}
 	if n.Limit.Present {
 		g.counters.Scope.Counter("answers_limited").Inc(1)
-		g.throttle.ObserveLimit(life, n.Limit.Rate)
+		g.throttle.ObserveLimit(incarnation, n.Limit.Rate)
 	}
 	if n.Backoff <= 0 {
 		return
 	}
 	g.counters.Scope.Counter("answers_resting").Inc(1)
-	if g.balancer.BackOff(g.now(), life, n.Backoff) {
-		g.log.Write(eventlog.Line{Event: eventlog.EndpointRests, Endpoint: life, Wait: n.Backoff})
+	if g.balancer.BackOff(g.now(), incarnation, n.Backoff) {
+		g.log.Write(eventlog.Line{Event: eventlog.EndpointRests, Endpoint: incarnation, Wait: n.Backoff})
 	}
 }
 
@@ -53,8 +53,8 @@
 }
 
 // zoneOf returns an endpoint's zone, or this instance's if the endpoint is not known.
-func (g *Gateway) zoneOf(life string) string {
-	if e := g.directory.View().Find(life); e != nil {
+func (g *Gateway) zoneOf(incarnation string) string {
+	if e := g.directory.View().Find(incarnation); e != nil {
 		return e.Zone
 	}
 	return g.self.Zone
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -159,9 +159,9 @@
 	}
 }
 
-// callerSendBuffer is the size in bytes of the kernel's send buffer of a caller's connection.
-// Auto-tuning would let it grow to megabytes, and a blocked write resumes only once a
-// third of it is free, so that a slow reader would look like a stalled one.
+// callerSendBuffer is the size in bytes of the kernel's send buffer of a caller's
+// connection. Auto-tuning would let it grow to megabytes, and a blocked write resumes
+// only once a third of it is free, so that a slow reader would look like a stalled one.
 const callerSendBuffer = 64 << 10
 
 // limitSendBuffer sets the size of a new connection's send buffer.
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -83,14 +83,14 @@
 }
 
 func (l *Leadership) acquire(ctx context.Context) bool {
-	began := l.Now()
+	start := l.Now()
 	lease, fence, err := l.Registry.Acquire(ctx, l.Name, l.leaseDuration())
 	if err != nil {
 		return false // taken, or the store is unavailable; Run tries again in both cases
 	}
 	l.mu.Lock()
 	l.lease, l.fence = lease, fence
-	l.actUntil, l.actFrom = began.Add(l.leaseDuration()-stopMargin), l.Now().Add(l.MinGap+maxActDelay)
+	l.actUntil, l.actFrom = start.Add(l.leaseDuration()-stopMargin), l.Now().Add(l.MinGap+maxActDelay)
 	l.mu.Unlock()
 	l.Log.Write(eventlog.Line{Event: eventlog.DutyTaken, Revision: fence})
 	return true
@@ -100,14 +100,14 @@
 func (l *Leadership) leaseDuration() time.Duration { return max(l.MinGap, minLease) }
 
 func (l *Leadership) renew(ctx context.Context) {
-	began := l.Now()
+	start := l.Now()
 	err := l.Registry.Renew(ctx, l.lease)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case err == nil:
-		l.actUntil = began.Add(l.leaseDuration() - stopMargin)
-	case errors.Is(err, ErrLapsed), began >= l.actUntil:
+		l.actUntil = start.Add(l.leaseDuration() - stopMargin)
+	case errors.Is(err, ErrLapsed), start >= l.actUntil:
 		l.lease = 0
 		l.Log.Write(eventlog.Line{Event: eventlog.DutyLost, Detail: err.Error(), Revision: l.fence})
 	}
