--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -38,7 +38,8 @@
 	onceMaxIdle       = 400 * time.Millisecond
 )
 
-// attempt sends the request once. It returns true when the caller has been answered.
+// attempt sends the request once. It returns true if the caller has been answered or has
+// disconnected.
 func (p *proxyRequest) attempt(parent context.Context, r *balance.Reservation) (done bool) {
 	ctx, cancel := context.WithCancel(parent)
 	defer cancel()
@@ -122,7 +123,8 @@
 	}
 }
 
-// sendFailed classifies a send that brought no response and reports it to the balancer.
+// sendFailed classifies a send that brought no complete, signed response and reports it to
+// the balancer.
 func (p *proxyRequest) sendFailed(parent context.Context, r *balance.Reservation, err error) {
 	result := balance.Failed
 	p.failure = "no_answer"
--- a/internal/forward/body.go
+++ b/internal/forward/body.go
@@ -17,7 +17,8 @@
 	}
 	// Setting a deadline fails on a closed connection; the read reports that.
 	_ = p.w.control.SetReadDeadline(time.Now().Add(p.left()))
-	defer func() { _ = p.w.control.SetReadDeadline(time.Time{}) }() // a deadline would also end the server's detection of a caller that disconnects
+	// A deadline would also end the server's detection of a caller that disconnects.
+	defer func() { _ = p.w.control.SetReadDeadline(time.Time{}) }()
 	limit := p.view.Table.Limits.BodyBytes
 	if r.ContentLength > limit {
 		p.reject(http.StatusRequestEntityTooLarge, "body_too_large", Error.New("the body is over %d bytes", limit))
@@ -31,7 +32,8 @@
 		p.message.Body = make([]byte, r.ContentLength)
 		_, err = io.ReadFull(r.Body, p.message.Body)
 		if err == nil {
-			_, err = r.Body.Read(make([]byte, 1)) // read EOF: only then does the server detect a caller that disconnects
+			// Reads EOF: only then does the server detect a caller that disconnects.
+			_, err = r.Body.Read(make([]byte, 1))
 			if errors.Is(err, io.EOF) {
 				err = nil
 			}
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -46,17 +46,18 @@
 	WriteTimeout time.Duration
 	// FindPlace reserves a place at model engines; ReleasePlace frees it.
 	FindPlace    func(context.Context, placement.Request, residency.Area) (*broker.Place, *placement.Refusal)
-	ReleasePlace func(p *broker.Place, full, failed string, seen *placement.Observation)
-	// ReportDecodeStart receives the number of requests that a decode engine reports as running
-	// when it begins to answer. ReadAtPlace receives the same from the prefill engine, and
-	// how long the prefill took.
+	ReleasePlace func(p *broker.Place, full, failed string, o *placement.Observation)
+	// ReportDecodeStart receives the number of requests that a decode engine reports as
+	// running when it begins to answer. ReportPrefillDone receives the same from the prefill
+	// engine, and how long the prefill took.
 	ReportDecodeStart func(p *broker.Place, running int)
 	ReportPrefillDone func(p *broker.Place, running int, took time.Duration)
 	// Regions maps each availability zone to its region.
 	Regions map[string]string
 	// Isolated reports whether this instance is cut off from all updates.
 	Isolated func() bool
-	// ReportGone is called with the ID of an endpoint whose address now belongs to another one.
+	// ReportGone is called with the ID of an endpoint whose address now belongs to another
+	// one.
 	ReportGone func(id string)
 	// Suspects records which requests crash endpoints.
 	Suspects *suspects.Suspects
@@ -154,7 +155,7 @@
 }
 
 const (
-	stepRetry    stepResult = iota // try again, at another endpoint
-	stepAnswered                   // the caller has been answered
-	stepGiveUp                     // no endpoint or no budget left
+	stepRetry    stepResult = iota // try again, usually at another endpoint
+	stepAnswered                   // the caller has been answered or has disconnected
+	stepGiveUp                     // the request is not sent again, mostly for lack of an endpoint or of retry budget
 )
--- a/internal/forward/permits.go
+++ b/internal/forward/permits.go
@@ -25,8 +25,8 @@
 	// Withheld returns the endpoints to which no request of the given priority may go, and
 	// for how long. The caller owns the map.
 	Withheld func(priority int) map[string]time.Duration
-	// ReportNoLimit reports that an endpoint answered successfully without stating a limit, and
-	// when that request was sent.
+	// ReportNoLimit reports that an endpoint answered successfully without stating a limit,
+	// and when that request was sent.
 	ReportNoLimit func(endpoint string, sent clock.Millis)
 }
 
@@ -79,7 +79,7 @@
 
 // waitToResume waits for the given time if the request is a stream that has begun and the
 // time is short enough: callers give up a stream after a gap of a few seconds. It reports
-// whether the stream can resume.
+// whether it waited to the end.
 func (p *proxyRequest) waitToResume(ctx context.Context, length time.Duration) bool {
 	if !p.headSent || length <= 0 || length > min(resumeWait, p.left()) {
 		return false
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -138,7 +138,7 @@
 	}
 }
 
-// stepResult says how to go on after one step.
+// stepResult is the outcome of one step of a request: answered, to be retried or given up.
 type stepResult int
 
 // timeoutGrace is how long after the deadline an endpoint may still report the timeout
--- a/internal/forward/silence.go
+++ b/internal/forward/silence.go
@@ -101,7 +101,8 @@
 	}
 }
 
-// reset restarts the timer after the endpoint has sent something.
+// reset is called after the endpoint has sent something. It ends a suspension and, for a
+// stream, restarts the timer with the gap.
 func (s *silenceWatch) reset() {
 	if s == nil {
 		return
--- a/internal/forward/silence_test.go
+++ b/internal/forward/silence_test.go
@@ -19,11 +19,11 @@
 		s.suspend()
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
-		c.Check(g.asked, qt.HasLen, 0)
+		c.Check(g.requested, qt.HasLen, 0)
 		s.reset() // the caller reads again; now the endpoint is silent
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
-		c.Check(len(g.asked) > 0, qt.IsTrue)
+		c.Check(len(g.requested) > 0, qt.IsTrue)
 		s.stop()
 	})
 }
--- a/internal/forward/unavailable_test.go
+++ b/internal/forward/unavailable_test.go
@@ -36,9 +36,9 @@
 // engineRequest is a request to model engines that records what was done for it.
 type engineRequest struct {
 	*proxyRequest
-	dials    atomic.Int64 // to endpoints, none of which is reachable
-	withheld map[string]time.Duration
-	asked    []placement.Request
+	dials     atomic.Int64 // to endpoints, none of which is reachable
+	withheld  map[string]time.Duration
+	requested []placement.Request // for places
 }
 
 func newEngineRequest(t *testing.T) *engineRequest {
@@ -78,8 +78,8 @@
 			Withheld:      func(int) map[string]time.Duration { return g.withheld },
 			ReportNoLimit: func(string, clock.Millis) {},
 		},
-		FindPlace: func(_ context.Context, a placement.Request, _ residency.Area) (*broker.Place, *placement.Refusal) {
-			g.asked = append(g.asked, a)
+		FindPlace: func(_ context.Context, req placement.Request, _ residency.Area) (*broker.Place, *placement.Refusal) {
+			g.requested = append(g.requested, req)
 			return &broker.Place{Grant: placement.Grant{Decode: decodeEngine, Prefill: prefillEngine}, Zone: "a"}, nil
 		},
 		Suspects:     suspects.New(suspects.Options{Scope: tally.NoopScope, Now: now}),
@@ -116,8 +116,8 @@
 				c.Assert(g.dials.Load(), qt.Equals, int64(0))
 				c.Assert(g.sends+g.prefill.sends, qt.Equals, 0)
 				g.engineStep(t.Context())
-				c.Assert(g.asked, qt.HasLen, 2)
-				c.Assert(g.asked[1].Exclude, qt.Contains, engine)
+				c.Assert(g.requested, qt.HasLen, 2)
+				c.Assert(g.requested[1].Exclude, qt.Contains, engine)
 			})
 		}
 	}
@@ -137,8 +137,8 @@
 			find := g.engineFinder(t.Context(), nil)
 			test.makeUnavailable(g, decodeEngine)
 			find()
-			c.Assert(g.asked, qt.HasLen, 1)
-			c.Assert(g.asked[0].Exclude, qt.Contains, decodeEngine)
+			c.Assert(g.requested, qt.HasLen, 1)
+			c.Assert(g.requested[0].Exclude, qt.Contains, decodeEngine)
 		})
 	}
 }
@@ -171,7 +171,7 @@
 		name  string
 		begun bool
 		wait  time.Duration
-		asks  int // requests for a permit of the decode engine
+		takes int // calls of Permits.Take
 	}{
 		{"begun", true, short, 2},
 		{"begun, and the wait would be too long", true, long, 1},
@@ -182,13 +182,13 @@
 			c := qt.New(t)
 			g := newEngineRequest(t)
 			g.headSent = test.begun
-			asks, gotPriority := 0, 0
+			takes, gotPriority := 0, 0
 			g.Permits.Take = func(_ context.Context, _ string, priority int) time.Duration {
-				asks, gotPriority = asks+1, priority
+				takes, gotPriority = takes+1, priority
 				return test.wait
 			}
 			c.Assert(g.engineStep(t.Context()), qt.Equals, stepRetry)
-			c.Check(asks, qt.Equals, test.asks)
+			c.Check(takes, qt.Equals, test.takes)
 			c.Check(gotPriority < 0, qt.Equals, test.begun)
 			g.FindPlace = func(context.Context, placement.Request, residency.Area) (*broker.Place, *placement.Refusal) {
 				return nil, &placement.Refusal{Reason: placement.ReasonLimited, RetryAfter: test.wait}
--- a/internal/forward/workspace.go
+++ b/internal/forward/workspace.go
@@ -13,7 +13,7 @@
 	// Admit counts a request of the given units against the workspace's limit, unless it
 	// would exceed that.
 	Admit func(w *route.Workspace, units float64) admission.Decision
-	// Credit returns the units of a request that did not run.
+	// Credit gives back the units of a request that did not run.
 	Credit func(w *route.Workspace, units float64)
 }
 
@@ -45,17 +45,17 @@
 		return true
 	}
 	units := p.workspace.Limit.Cost(p.call.PromptTokens+p.call.MaxOutputTokens, p.call.HasTokenCounts)
-	v := p.Limits.Admit(p.workspace, units)
-	p.countWorkspace(v.Admitted)
-	if v.Admitted {
+	d := p.Limits.Admit(p.workspace, units)
+	p.countWorkspace(d.Admitted)
+	if d.Admitted {
 		p.chargedUnits = units
 		return true
 	}
-	p.refuseOverLimit(v)
+	p.refuseOverLimit(d)
 	return false
 }
 
-// credit returns the charged units if the request did not run: only requests that ran
+// credit gives back the charged units if the request did not run: only requests that ran
 // count.
 func (p *proxyRequest) credit() {
 	if p.chargedUnits > 0 && p.runs == 0 {
@@ -72,11 +72,11 @@
 }
 
 // refuseOverLimit tells the caller that its workspace is over its limit.
-func (p *proxyRequest) refuseOverLimit(v admission.Decision) {
+func (p *proxyRequest) refuseOverLimit(d admission.Decision) {
 	p.failure = "over_limit"
 	n := p.logLine(eventlog.Refused, p.failure, nil)
-	n.Age, n.Detail = v.Age, v.String()
-	p.refuseWith(http.StatusTooManyRequests, v.RetryAfter, n)
+	n.Age, n.Detail = d.Age, d.String()
+	p.refuseWith(http.StatusTooManyRequests, d.RetryAfter, n)
 }
 
 // priority returns the workspace's priority if it has one, or else the route's.
