--- a/internal/endpoint/client.go
+++ b/internal/endpoint/client.go
@@ -52,8 +52,8 @@
 
 // Client calls endpoints over HTTP.
 type Client struct {
-	// OnNotice is called with the notice in the header of each response. good reports whether
-	// the response was successful, sent is when the request was sent.
+	// OnNotice is called with the notice in the header of each response. good reports
+	// whether the response was successful; sent is when the request was sent.
 	OnNotice func(at netip.AddrPort, n notice.Notice, good bool, sent time.Time)
 
 	pooled *http.Client // reuses connections
@@ -104,8 +104,8 @@
 	return n
 }
 
-// ProcessEnded reports whether the endpoint's process has ended, that is, whether its host refuses
-// connections to its port. A host that does not respond proves nothing.
+// ProcessEnded reports whether the endpoint's process has ended, that is, whether its host
+// refuses connections to its port. A host that does not respond proves nothing.
 func (c *Client) ProcessEnded(ctx context.Context, at netip.AddrPort) bool {
 	conn, err := c.dialer.DialContext(ctx, "tcp", at.String())
 	if err != nil {
@@ -286,7 +286,8 @@
 	return nil, wrapError(ErrMayHaveRun, cause)
 }
 
-// sendError distinguishes a failure to connect from a connection that broke.
+// sendError distinguishes a failure to connect, after which the request certainly did not
+// run, from a connection that broke.
 func sendError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
--- a/internal/endpoint/client_test.go
+++ b/internal/endpoint/client_test.go
@@ -87,8 +87,9 @@
 	c.Assert(errors.Is(err, ErrNotRun), qt.IsTrue)
 }
 
-// cutAfter reads the given number of bytes from each connection, then resets it. It waits for
-// the first byte without a deadline: a reset before it may fail the dial, which means not run.
+// cutAfter reads the given number of bytes from each connection, then resets it. It waits
+// for the first byte without a deadline: a reset before it may fail the dial, which means
+// not run.
 func cutAfter(l net.Listener, cut int, read chan<- int) {
 	for {
 		conn, err := l.Accept()
--- a/internal/endpoint/wire.go
+++ b/internal/endpoint/wire.go
@@ -40,7 +40,7 @@
 	Phase   string `json:"phase"` // waiting, prefill, kv, transfer, decode or call
 }
 
-// Load is an endpoint's report of its own load, which is somewhat old.
+// Load is an endpoint's report of its own load, which lags by AgeMS.
 type Load struct {
 	Running int   `json:"running"`
 	Waiting int   `json:"waiting"`
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -131,7 +131,8 @@
 	workspaces map[Key]*Workspace
 }
 
-// NewTable validates d and indexes it. Errors name the route and what is wrong.
+// NewTable validates d and indexes it. Errors name the route, service or workspace and what
+// is wrong with it.
 func NewTable(d Document) (*Table, error) {
 	if d.Version <= 0 {
 		return nil, Error.New("version %d is not positive", d.Version)
--- a/internal/uplink/exchange.go
+++ b/internal/uplink/exchange.go
@@ -22,7 +22,7 @@
 // Message is one request to an endpoint.
 type Message struct {
 	Address    netip.AddrPort
-	EndpointID string // ID of the endpoint; connections are reused only for the same ID
+	EndpointID string // of the endpoint's incarnation; connections are reused only for the same ID
 	Method     string
 	Target     string // path and query, exactly as the caller sent them
 	Host       string
--- a/internal/uplink/pool.go
+++ b/internal/uplink/pool.go
@@ -46,9 +46,8 @@
 type Pool struct {
 	// Dial opens a connection. Tests may replace it.
 	Dial func(ctx context.Context, to netip.AddrPort) (net.Conn, error)
-	// OnResponse is called with the endpoint's ID and the header of each response,
-	// including responses that belong to no request in progress. It must not read
-	// the body.
+	// OnResponse is called with the endpoint's ID and the header of each response, including
+	// responses that belong to no request in progress. It must not read the body.
 	OnResponse func(endpointID string, head *http.Response)
 
 	scope tally.Scope
@@ -57,8 +56,8 @@
 	idle  map[connKey][]*conn
 }
 
-// connKey identifies an endpoint. A new endpoint at the same address knows nothing of the
-// connections of the previous one.
+// connKey identifies one incarnation of an endpoint. A new one at the same address knows
+// nothing of the connections of the previous one.
 type connKey struct {
 	address    netip.AddrPort
 	endpointID string
@@ -137,9 +136,9 @@
 	p.idle[c.key] = append(p.idle[c.key], c)
 }
 
-// ProcessEnded reports whether the process of an endpoint has ended, that is, whether its host
-// refuses connections to its port. A host that does not respond or is unreachable proves
-// nothing. If a connection is established, it is kept for the next request.
+// ProcessEnded reports whether the process of an endpoint has ended, that is, whether its
+// host refuses connections to its port. A host that does not respond or is unreachable
+// proves nothing. If a connection is established, it is kept for the next request.
 func (p *Pool) ProcessEnded(ctx context.Context, to netip.AddrPort, endpointID string) bool {
 	p.scope.Counter("uplink_dials").Inc(1)
 	raw, err := p.Dial(ctx, to)
