--- a/internal/forward/timing.go
+++ b/internal/forward/timing.go
@@ -40,11 +40,11 @@
 	if t.sentAt == 0 || t.events == 0 {
 		return nil
 	}
-	o := &placement.Observation{
+	observation := &placement.Observation{
 		FirstEventTime: max(t.first.Sub(t.sentAt), time.Millisecond), Tokens: (t.events - 1) * t.eventTokens, DecodeTime: t.last.Sub(t.first),
 	}
 	if t.ended {
-		o.TotalTokens = t.events * t.eventTokens
+		observation.TotalTokens = t.events * t.eventTokens
 	}
-	return o
+	return observation
 }
