--- a/internal/peer/certificates.go
+++ b/internal/peer/certificates.go
@@ -6,9 +6,9 @@
 	"os"
 )
 
-// LoadTLS returns a mutual TLS configuration from PEM files. Both sides must
-// present a certificate signed by the authority in ca. It is not checked against the
-// peer's address, because peers are addressed by IP and their addresses change.
+// LoadTLS returns a mutual TLS configuration from PEM files. Both sides must present a
+// certificate signed by the authority in ca. It is not checked against the peer's address,
+// because peers are addressed by IP and their addresses change.
 func LoadTLS(ca, certificate, key string) (*tls.Config, error) {
 	pem, err := os.ReadFile(ca)
 	if err != nil {
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -113,8 +113,8 @@
 // listening one. It must be called before the first message.
 func (t *Transport) Advertise(address netip.AddrPort) { t.address = address }
 
-// SetQueueLength sets how many frames may be queued per address. It must be called before the
-// first message.
+// SetQueueLength sets how many frames may be queued per address. It must be called before
+// the first message.
 func (t *Transport) SetQueueLength(frames int) { t.queueLength = frames }
 
 // Partition drops every message to an address for which lost returns true, to simulate a
@@ -171,8 +171,8 @@
 		return nil, err
 	}
 	select {
-	case a := <-reply:
-		return a.payload, a.err
+	case r := <-reply:
+		return r.payload, r.err
 	case <-ctx.Done():
 		return nil, Error.Wrap(ctx.Err())
 	case <-t.ctx.Done():
@@ -226,9 +226,9 @@
 func (t *Transport) failCalls(to netip.AddrPort, cause error) {
 	t.callsMu.Lock()
 	defer t.callsMu.Unlock()
-	for id, a := range t.calls {
-		if a.to == to {
-			a.reply <- result{err: cause}
+	for id, c := range t.calls {
+		if c.to == to {
+			c.reply <- result{err: cause}
 			delete(t.calls, id)
 		}
 	}
@@ -369,12 +369,12 @@
 func (t *Transport) deliverReply(f frame) {
 	t.callsMu.Lock()
 	defer t.callsMu.Unlock()
-	a, ok := t.calls[f.ReplyTo]
+	c, ok := t.calls[f.ReplyTo]
 	if !ok {
 		t.scope.Counter("peer_late_reply").Inc(1)
 		return
 	}
-	a.reply <- result{payload: f.Payload}
+	c.reply <- result{payload: f.Payload}
 	delete(t.calls, f.ReplyTo)
 }
 
--- a/internal/peer/typed.go
+++ b/internal/peer/typed.go
@@ -97,14 +97,14 @@
 	})
 }
 
-// HandleCall adds a handler for requests sent by Ask. Each runs in its own goroutine, so that
-// a slow one does not delay other messages.
+// HandleCall adds a handler for requests sent by Call. Each runs in its own goroutine, so
+// that a slow one does not delay other messages.
 func HandleCall[Q, A any](r *message.Router, t *Transport, topic string, do func(context.Context, Sender, Q) A) {
 	HandleCallEncoded(r, t, topic, func(ctx context.Context, s Sender, q Q) (Encoded, error) { return Encode(do(ctx, s, q)) })
 }
 
-// HandleCallEncoded is Answer for replies that are shared by many callers and encoded once. If
-// do returns an error, the request is counted as malformed and gets no reply.
+// HandleCallEncoded is HandleCall for replies that are shared by many callers and encoded
+// once. If do returns an error, the request is counted as malformed and gets no reply.
 func HandleCallEncoded[Q any](r *message.Router, t *Transport, topic string, do func(context.Context, Sender, Q) (Encoded, error)) {
 	r.AddConsumerHandler(topic, topic, t, func(m *message.Message) error {
 		q, ok := decode[Q](t, m)
