--- a/internal/quarantine/completions.go
+++ b/internal/quarantine/completions.go
@@ -30,34 +30,34 @@
 	return &completions{seed: maphash.MakeSeed(), current: map[uint64]struct{}{}}
 }
 
-func (v *completions) add(now clock.Millis, w Work) {
-	v.rotate(now)
-	v.current[v.sum(w)] = struct{}{}
+func (c *completions) add(now clock.Millis, w Work) {
+	c.rotate(now)
+	c.current[c.sum(w)] = struct{}{}
 }
 
-func (v *completions) has(now clock.Millis, w Work) bool {
-	v.rotate(now)
-	sum := v.sum(w)
-	_, inCurrent := v.current[sum]
-	_, inPrevious := v.previous[sum]
+func (c *completions) has(now clock.Millis, w Work) bool {
+	c.rotate(now)
+	sum := c.sum(w)
+	_, inCurrent := c.current[sum]
+	_, inPrevious := c.previous[sum]
 	return inCurrent || inPrevious
 }
 
 // rotate begins a new generation if the current one is too old or full.
-func (v *completions) rotate(now clock.Millis) {
-	if now.Sub(v.rotated) < generationInterval && len(v.current) < maxGeneration {
+func (c *completions) rotate(now clock.Millis) {
+	if now.Sub(c.rotated) < generationInterval && len(c.current) < maxGeneration {
 		return
 	}
-	v.previous = v.current
-	if now.Sub(v.rotated) >= 2*generationInterval {
-		v.previous = nil
+	c.previous = c.current
+	if now.Sub(c.rotated) >= 2*generationInterval {
+		c.previous = nil
 	}
-	v.current, v.rotated = map[uint64]struct{}{}, now
+	c.current, c.rotated = map[uint64]struct{}{}, now
 }
 
-func (v *completions) sum(w Work) uint64 {
+func (c *completions) sum(w Work) uint64 {
 	var h maphash.Hash
-	h.SetSeed(v.seed)
+	h.SetSeed(c.seed)
 	for _, part := range []string{w.Workspace, w.Method, w.Host, w.Target} {
 		_, _ = h.WriteString(part) // never fails
 		_ = h.WriteByte(0)         // separator; no part contains a zero byte
--- a/internal/quarantine/ends.go
+++ b/internal/quarantine/ends.go
@@ -13,20 +13,23 @@
 	endpoint    string
 }
 
-// NewEnd returns the end of an endpoint, identified by its life, that ran a request.
+// NewEnd returns the end of an endpoint, identified by the ID of its incarnation, that ran a
+// request.
 func NewEnd(w Work, endpoint string) End {
 	return End{work: w, fingerprint: w.Fingerprint(), endpoint: endpoint}
 }
 
-// EndedElsewhere reports whether the request of last also ran at another endpoint among ends.
+// EndedElsewhere reports whether the request of last also ran at another endpoint among
+// ends.
 func EndedElsewhere(ends []End, last End) bool {
 	return slices.ContainsFunc(ends, func(e End) bool { return e.fingerprint == last.fingerprint && e.endpoint != last.endpoint })
 }
 
-// Attributable returns those of the collected ends that count against their requests: all of
-// them, unless several endpoints ended together. A fault that ends many endpoints at once
-// is unlikely to come from a request, so only requests that ran at two of them are
-// returned. This protects harmless requests that two successive waves of crashes interrupt.
+// Attributable returns those of the collected ends that count against their requests: all
+// of them, unless massEndThreshold endpoints or more ended together. Such ends have a
+// common cause other than a request, so only those of requests that ran at two of the
+// endpoints are returned. This protects harmless requests that two successive waves of
+// crashes interrupt.
 func Attributable(ends []End) []End {
 	endpoints := map[string]bool{}
 	for _, e := range ends {
@@ -35,11 +38,11 @@
 	if len(endpoints) < massEndThreshold {
 		return ends
 	}
-	var blamed []End
+	var attributable []End
 	for _, e := range ends {
 		if EndedElsewhere(ends, e) {
-			blamed = append(blamed, e)
+			attributable = append(attributable, e)
 		}
 	}
-	return blamed
+	return attributable
 }
--- a/internal/quarantine/ends_test.go
+++ b/internal/quarantine/ends_test.go
@@ -13,9 +13,9 @@
 // comes while the interrupted requests run elsewhere.
 func TestMassEnds(t *testing.T) {
 	tests := []struct {
-		name   string
-		ends   []quarantine.End
-		blamed int
+		name string
+		ends []quarantine.End
+		want int
 	}{
 		{"one endpoint, one request", []quarantine.End{quarantine.NewEnd(work("x"), "a")}, 1},
 		{"one endpoint, all that ran there", []quarantine.End{quarantine.NewEnd(work("x"), "a"), quarantine.NewEnd(work("y"), "a"), quarantine.NewEnd(work("z"), "a")}, 3},
@@ -27,7 +27,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			qt.Assert(t, quarantine.Attributable(test.ends), qt.HasLen, test.blamed)
+			qt.Assert(t, quarantine.Attributable(test.ends), qt.HasLen, test.want)
 		})
 	}
 }
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -15,7 +15,7 @@
 var Error = errs.Class("quarantine")
 
 // Fingerprint identifies the work of a request. It is the same for each attempt,
-// whatever the attempt's id and whichever instance receives it. Two workspaces never
+// whatever the attempt's ID and whichever instance receives it. Two workspaces never
 // share a fingerprint, so that none can cause another's requests to be refused.
 type Fingerprint [16]byte
 
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -25,7 +25,8 @@
 // records of a request gives the same result in any order.
 type Record struct {
 	Work Fingerprint `cbor:"1,keyasint"`
-	// Ended lists the ids of the endpoint lives that ended, sorted.
+	// Ended lists the IDs of the endpoint incarnations that ended, sorted, up to
+	// RecentHoldThreshold of them.
 	Ended []string `cbor:"2,keyasint,omitempty"`
 	// Cleared is when the request was last cleared, by running to completion or by the
 	// removal of its stored record; 0 if never. Earlier ends do not count any more.
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -59,8 +59,8 @@
 	if t.Empty() {
 		return false
 	}
-	h := t.records[w.Fingerprint()]
-	return h != nil && h.Held()
+	e := t.records[w.Fingerprint()]
+	return e != nil && e.Held()
 }
 
 // RecordEnd records that an endpoint ended while it ran the request. It returns the merged
@@ -76,24 +76,24 @@
 		r.Cleared = before.Cleared
 	}
 	merged, changed := t.mergeRecord(now, r)
-	if h := t.records[r.Work]; h != nil && changed {
-		h.local = true
+	if own := t.records[r.Work]; own != nil && changed {
+		own.local = true
 	}
 	return merged, changed
 }
 
-// RecordCompletion records that the request ran to completion, which clears it. If the request
-// was suspected, it returns the record to announce to other instances, and true.
+// RecordCompletion records that the request ran to completion, which clears it. If the
+// request was suspected, it returns the record to announce to other instances, and true.
 func (t *Table) RecordCompletion(now clock.Millis, w Work) (Record, bool) {
 	t.completions.add(now, w)
 	if t.Empty() {
 		return Record{}, false
 	}
-	h := t.records[w.Fingerprint()]
-	if h == nil || len(h.Ended) == 0 {
+	e := t.records[w.Fingerprint()]
+	if e == nil || len(e.Ended) == 0 {
 		return Record{}, false
 	}
-	return t.mergeRecord(now, Record{Work: h.Work, Cleared: max(now, h.Cleared+1), Seen: now})
+	return t.mergeRecord(now, Record{Work: e.Work, Cleared: max(now, e.Cleared+1), Seen: now})
 }
 
 // Merge merges a record from another instance into the table. It returns the merged
@@ -104,18 +104,18 @@
 	if len(r.Ended) == 0 && r.Cleared == 0 || now.Sub(r.Seen) > retention(r) {
 		return Record{}, false
 	}
-	h := t.records[r.Work]
-	if h == nil {
+	e := t.records[r.Work]
+	if e == nil {
 		t.makeRoom(now)
-		h = &entry{Record: Record{Work: r.Work}}
-		t.records[r.Work] = h
+		e = &entry{Record: Record{Work: r.Work}}
+		t.records[r.Work] = e
 	}
-	merged := merge(h.Record, r)
-	changed := !merged.equal(h.Record)
-	if merged.Held() && !h.Held() {
-		h.heldSince, h.local = now, false
+	merged := merge(e.Record, r)
+	changed := !merged.equal(e.Record)
+	if merged.Held() && !e.Held() {
+		e.heldSince, e.local = now, false
 	}
-	h.Record = merged
+	e.Record = merged
 	return merged, changed
 }
 
@@ -137,9 +137,9 @@
 		return
 	}
 	var oldest *entry
-	for _, h := range t.records {
-		if oldest == nil || !h.Held() && oldest.Held() || h.Held() == oldest.Held() && h.Seen < oldest.Seen {
-			oldest = h
+	for _, e := range t.records {
+		if oldest == nil || !e.Held() && oldest.Held() || e.Held() == oldest.Held() && e.Seen < oldest.Seen {
+			oldest = e
 		}
 	}
 	delete(t.records, oldest.Work)
@@ -149,24 +149,24 @@
 // the store has.
 func (t *Table) Expire(now clock.Millis) []Removal {
 	var expired []Removal
-	for work, h := range t.records {
-		if now.Sub(h.Seen) <= retention(h.Record) {
+	for work, e := range t.records {
+		if now.Sub(e.Seen) <= retention(e.Record) {
 			continue
 		}
 		delete(t.records, work)
-		if h.revision != 0 {
-			expired = append(expired, Removal{Work: work, Revision: h.revision})
+		if e.revision != 0 {
+			expired = append(expired, Removal{Work: work, Revision: e.revision})
 		}
 	}
 	return expired
 }
 
-// MergeStored merges a record that the store has. It returns the merged record and whether it
-// changed.
+// MergeStored merges a record that the store has. It returns the merged record and whether
+// it changed.
 func (t *Table) MergeStored(now clock.Millis, s Stored) (Record, bool) {
 	r, changed := t.mergeRecord(now, s.Record)
-	if h := t.records[s.Work]; h != nil {
-		h.revision = max(h.revision, s.Revision)
+	if e := t.records[s.Work]; e != nil {
+		e.revision = max(e.revision, s.Revision)
 	}
 	return r, changed
 }
@@ -175,15 +175,15 @@
 // request was cleared. If the request was held here, it clears it and returns the record
 // and true.
 func (t *Table) ApplyRemoval(now clock.Millis, removal Removal) (Record, bool) {
-	h := t.records[removal.Work]
-	if h == nil || h.revision == 0 || h.revision > removal.Revision {
+	e := t.records[removal.Work]
+	if e == nil || e.revision == 0 || e.revision > removal.Revision {
 		return Record{}, false
 	}
-	h.revision = 0
-	if !h.Held() {
+	e.revision = 0
+	if !e.Held() {
 		return Record{}, false
 	}
-	return t.mergeRecord(now, Record{Work: h.Work, Cleared: max(now, h.Cleared+1), Seen: now})
+	return t.mergeRecord(now, Record{Work: e.Work, Cleared: max(now, e.Cleared+1), Seen: now})
 }
 
 // Missing returns the records that the store had, but that a full listing of it as of
@@ -194,8 +194,8 @@
 		listed[s.Work] = true
 	}
 	var gone []Removal
-	for work, h := range t.records {
-		if h.revision != 0 && h.revision <= revision && !listed[work] {
+	for work, e := range t.records {
+		if e.revision != 0 && e.revision <= revision && !listed[work] {
 			gone = append(gone, Removal{Work: work, Revision: revision})
 		}
 	}
@@ -207,9 +207,9 @@
 // those that watch the store do so if it is still missing after grace.
 func (t *Table) Unsaved(now clock.Millis, watches bool, grace time.Duration) []Record {
 	var list []Record
-	for _, h := range t.records {
-		if h.Held() && h.revision == 0 && (h.local || watches && now.Sub(h.heldSince) >= grace) {
-			list = append(list, h.Record)
+	for _, e := range t.records {
+		if e.Held() && e.revision == 0 && (e.local || watches && now.Sub(e.heldSince) >= grace) {
+			list = append(list, e.Record)
 		}
 	}
 	return sorted(list)
@@ -218,9 +218,9 @@
 // Obsolete returns the stored records of requests that are not held any more.
 func (t *Table) Obsolete() []Removal {
 	var list []Removal
-	for work, h := range t.records {
-		if !h.Held() && h.revision != 0 {
-			list = append(list, Removal{Work: work, Revision: h.revision})
+	for work, e := range t.records {
+		if !e.Held() && e.revision != 0 {
+			list = append(list, Removal{Work: work, Revision: e.revision})
 		}
 	}
 	return list
@@ -229,8 +229,8 @@
 // Digest returns a hash of the set of held requests.
 func (t *Table) Digest() uint64 {
 	digest := uint64(0)
-	for work, h := range t.records {
-		if h.Held() {
+	for work, e := range t.records {
+		if e.Held() {
 			digest ^= binary.BigEndian.Uint64(work[:])
 		}
 	}
@@ -241,9 +241,9 @@
 // recently seen first.
 func (t *Table) Settled(limit int) []Record {
 	var list []Record
-	for _, h := range t.records {
-		if h.Held() || h.Cleared != 0 {
-			list = append(list, h.Record)
+	for _, e := range t.records {
+		if e.Held() || e.Cleared != 0 {
+			list = append(list, e.Record)
 		}
 	}
 	list = sorted(list)
@@ -251,16 +251,16 @@
 }
 
 // Count returns the numbers of held and of suspected requests.
-func (t *Table) Count() (heldNow, suspected int) {
-	for _, h := range t.records {
+func (t *Table) Count() (held, suspected int) {
+	for _, e := range t.records {
 		switch {
-		case h.Held():
-			heldNow++
-		case len(h.Ended) > 0:
+		case e.Held():
+			held++
+		case len(e.Ended) > 0:
 			suspected++
 		}
 	}
-	return heldNow, suspected
+	return held, suspected
 }
 
 // sorted sorts records in place, the most recently seen first, and returns them.
--- a/internal/suspects/suspects.go
+++ b/internal/suspects/suspects.go
@@ -45,8 +45,8 @@
 	compareInterval = time.Second
 	// compareTimeout is the timeout of one comparison call.
 	compareTimeout = 800 * time.Millisecond
-	// maxMessageRecords bounds the records in one message, to about 30 kB; the remaining ones
-	// are read from the store.
+	// maxMessageRecords bounds the records in one message, to about 30 kB; the remaining
+	// ones are read from the store.
 	maxMessageRecords = 256
 	// saveDelay is how long an instance that watches the store waits for the instance
 	// that observed the last end to save the record.
@@ -79,7 +79,7 @@
 	Errors   []error // records that could not be read
 }
 
-// Options configures Suspects.
+// Options configure a Suspects.
 type Options struct {
 	Name, Zone string
 	Transport  *peer.Transport
@@ -91,7 +91,8 @@
 	Peers func() []Peer
 	// Watching reports whether this instance watches the store for its zone.
 	Watching func() bool
-	// OnHeldChange is called for each changed record of a request that is held or was cleared.
+	// OnHeldChange is called for each changed record of a request that is held or was
+	// cleared.
 	OnHeldChange func(r quarantine.Record)
 	// OnUnreadable is called for each record of the store that cannot be decoded.
 	OnUnreadable func(err error, revision int64)
@@ -136,16 +137,16 @@
 
 // Register adds the handlers for messages from other instances.
 func (s *Suspects) Register(r *message.Router) {
-	peer.Handle(r, s.Transport, topicRecords, func(_ peer.Sender, t recordsMessage) {
-		updated := s.merge(t.Records)
-		if t.Relay {
+	peer.Handle(r, s.Transport, topicRecords, func(_ peer.Sender, m recordsMessage) {
+		updated := s.merge(m.Records)
+		if m.Relay {
 			s.send(s.zonePeers(), updated, false)
 		}
 	})
-	peer.HandleCall(r, s.Transport, topicCompare, func(_ context.Context, _ peer.Sender, q compareRequest) recordsMessage {
+	peer.HandleCall(r, s.Transport, topicCompare, func(_ context.Context, _ peer.Sender, req compareRequest) recordsMessage {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if s.table.Digest() == q.Digest {
+		if s.table.Digest() == req.Digest {
 			return recordsMessage{}
 		}
 		return recordsMessage{Records: s.table.Settled(maxMessageRecords), Differs: true}
@@ -232,27 +233,27 @@
 
 // ApplyStored applies an update from the store. Changes are sent to the zone, because
 // only some of its instances watch the store.
-func (s *Suspects) ApplyStored(n StoreUpdate) {
+func (s *Suspects) ApplyStored(u StoreUpdate) {
 	var updated []quarantine.Record
 	s.mu.Lock()
 	now := s.Now()
-	released := n.Released
-	if n.Complete {
-		released = append(released, s.table.Missing(n.Records, n.Revision)...)
+	released := u.Released
+	if u.Complete {
+		released = append(released, s.table.Missing(u.Records, u.Revision)...)
 	}
-	for _, stored := range n.Records {
+	for _, stored := range u.Records {
 		if r, changed := s.table.MergeStored(now, stored); changed {
 			updated = append(updated, r)
 		}
 	}
-	for _, l := range released {
-		if r, changed := s.table.ApplyRemoval(now, l); changed {
+	for _, removal := range released {
+		if r, changed := s.table.ApplyRemoval(now, removal); changed {
 			updated = append(updated, r)
 		}
 	}
 	s.mu.Unlock()
-	for _, err := range n.Errors {
-		s.OnUnreadable(err, n.Revision)
+	for _, err := range u.Errors {
+		s.OnUnreadable(err, u.Revision)
 	}
 	s.report(updated)
 	s.send(s.zonePeers(), updated, false)
@@ -278,33 +279,33 @@
 		return
 	}
 	s.mu.Lock()
-	q := compareRequest{Digest: s.table.Digest()}
+	req := compareRequest{Digest: s.table.Digest()}
 	s.mu.Unlock()
 	go func() { // an unresponsive peer must not block Run
 		ctx, cancel := context.WithTimeout(ctx, compareTimeout)
 		defer cancel()
-		answer, err := peer.Call[compareRequest, recordsMessage](ctx, s.Transport, other, topicCompare, q)
+		reply, err := peer.Call[compareRequest, recordsMessage](ctx, s.Transport, other, topicCompare, req)
 		if err != nil {
 			s.Scope.Counter("suspects_unanswered").Inc(1)
 			return
 		}
-		s.handleDifference(other, answer)
+		s.handleDifference(other, reply)
 	}()
 }
 
 // handleDifference handles the reply of a comparison. It sends the other instance the
 // held records that it lacks. Records that were new here are sent to the zone if this
 // instance watches the store.
-func (s *Suspects) handleDifference(other netip.AddrPort, answer recordsMessage) {
-	if !answer.Differs {
+func (s *Suspects) handleDifference(other netip.AddrPort, reply recordsMessage) {
+	if !reply.Differs {
 		return
 	}
-	updated := s.merge(answer.Records)
+	updated := s.merge(reply.Records)
 	if s.Watching() {
 		s.send(s.zonePeers(), updated, false)
 	}
 	theirs := map[quarantine.Fingerprint]bool{}
-	for _, r := range answer.Records {
+	for _, r := range reply.Records {
 		theirs[r.Work] = r.Held()
 	}
 	s.mu.Lock()
@@ -327,8 +328,8 @@
 	s.Scope.Counter("suspects_send_failed").Inc(int64(unsent))
 }
 
-// updateStore writes the held records that the store lacks, and removes those that expired or
-// are not held any more.
+// updateStore writes the held records that the store lacks, and removes those that expired
+// or are not held any more.
 func (s *Suspects) updateStore(ctx context.Context) {
 	now := s.Now()
 	if now.Sub(s.lastStoreCall) < saveRetryDelay {
@@ -338,10 +339,10 @@
 	s.mu.Lock()
 	expired := s.table.Expire(now)
 	unsaved := s.table.Unsaved(now, watching, saveDelay)
-	unneeded := s.table.Obsolete()
+	obsolete := s.table.Obsolete()
 	s.mu.Unlock()
 	if !watching {
-		unneeded = nil // an instance that watches the store removes them
+		obsolete = nil // an instance that watches the store removes them
 	}
 	for _, r := range unsaved {
 		s.lastStoreCall = now
@@ -349,14 +350,14 @@
 			return
 		}
 	}
-	for _, l := range append(unneeded, expired...) {
+	for _, removal := range append(obsolete, expired...) {
 		s.lastStoreCall = now
-		if err := s.Store.Remove(ctx, l.Work); err != nil {
+		if err := s.Store.Remove(ctx, removal.Work); err != nil {
 			s.Scope.Counter("suspects_remove_failed").Inc(1)
 			return
 		}
 		s.mu.Lock()
-		s.table.ApplyRemoval(now, l)
+		s.table.ApplyRemoval(now, removal)
 		s.mu.Unlock()
 	}
 }
@@ -378,9 +379,9 @@
 	return true
 }
 
-// report passes changed records of held and cleared requests to Held, and updates the
-// gauges. Requests that are only suspected are not reported one by one: if a zone is
-// partitioned, every request that runs in the other zones becomes suspected.
+// report passes changed records of held and cleared requests to OnHeldChange, and updates
+// the gauges. Requests that are only suspected are not reported one by one: if a zone
+// is partitioned, every request that runs in the other zones becomes suspected.
 func (s *Suspects) report(updated []quarantine.Record) {
 	if len(updated) == 0 {
 		return
