--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -59,7 +59,7 @@
 		fail(w, http.StatusBadRequest, err)
 		return
 	}
-	table, err := n.desk.Execute(r.Context(), s.Text, s.Who, s.Base)
+	table, err := n.executor.Execute(r.Context(), s.Text, s.Who, s.Base)
 	if err != nil {
 		fail(w, statusOf(err), err)
 		return
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -46,8 +46,8 @@
 const reconcileInterval = 100 * time.Millisecond
 
 // leavingTimeout is how long an endpoint counts as leaving after its last response that
-// said so. It ends within that time. The entry has to expire because a new process at
-// the same address cannot be distinguished from it here.
+// said so. The endpoint ends within that time. The entry has to expire because a new
+// process at the same address cannot be distinguished from the endpoint here.
 const leavingTimeout = 30 * time.Second
 
 // Node is one trailshed process. mu is the last in the lock order: no call that takes
@@ -68,8 +68,8 @@
 	entry      *entry.Entry
 	ledger     *ledger.Ledger
 	suspects   *suspects.Suspects
-	desk       *operator.Executor
-	front      *caller.API
+	executor   *operator.Executor
+	api        *caller.API
 
 	mu      sync.Mutex // guards table
 	table   *member.Table
@@ -137,10 +137,10 @@
 		Dispatcher: n.dispatcherOf, Cells: n.cells, Status: n.status, Claim: n.ledger.Claim, Abandon: n.ledger.Abandon,
 		Suspects: n.suspects, Notices: notices, Limits: limits,
 	}, n.transport, client, scope)
-	n.desk = operator.New(operator.Options{
+	n.executor = operator.New(operator.Options{
 		Zone: s.Node.Zone, Now: n.now, Members: n.members, Cells: n.cells,
 	}, n.changes, n.dispatcher, n.transport)
-	n.front = caller.New(s.Callers, n.entry, n.changes.Current, n.now, n.changes.Loaded, scope)
+	n.api = caller.New(s.Callers, n.entry, n.changes.Current, n.now, n.changes.Loaded, scope)
 	n.register()
 }
 
@@ -149,7 +149,7 @@
 	n.entry.Register(n.router)
 	n.ledger.Register(n.router)
 	n.suspects.Register(n.router)
-	n.desk.Register(n.router)
+	n.executor.Register(n.router)
 	peer.Handle(n.router, n.transport, topicHeartbeat, n.handleHeartbeat)
 	peer.HandleCall(n.router, n.transport, topicPull, func(_ context.Context, _ peer.Sender, p changelog.Pull) changelog.Delta {
 		return n.changes.Delta(p)
@@ -187,15 +187,15 @@
 	group.Go(func() { n.loadConfiguration(serving) })
 	group.Go(func() { n.changes.Watch(serving, n.settings.Platform.Watch, n.isWatcher) })
 
-	front := &http.Server{Handler: n.front.Handler(), ReadHeaderTimeout: 5 * time.Second}
-	desk := &http.Server{Handler: n.adminHandler(), ReadHeaderTimeout: 5 * time.Second}
-	group.Go(func() { serve(front, callers, n.log) })
-	group.Go(func() { serve(desk, admin, n.log) })
+	callerServer := &http.Server{Handler: n.api.Handler(), ReadHeaderTimeout: 5 * time.Second}
+	adminServer := &http.Server{Handler: n.adminHandler(), ReadHeaderTimeout: 5 * time.Second}
+	group.Go(func() { serve(callerServer, callers, n.log) })
+	group.Go(func() { serve(adminServer, admin, n.log) })
 	n.log.Info().Str("callers", n.settings.Callers.Listen).Str("peers", n.settings.Peers.Listen).Msg("serving")
 
 	<-ctx.Done()
-	n.leave(front)
-	_ = desk.Close()
+	n.leave(callerServer)
+	_ = adminServer.Close()
 	stop()
 	_ = n.transport.Close()
 	group.Wait()
@@ -204,7 +204,8 @@
 }
 
 // resume replaces connections after the machine was suspended. Other processes have taken
-// over its attempts meanwhile. The entry detects this by the clock and ends its own.
+// over this process's attempts meanwhile, so the entry, which detects the suspension by
+// the clock, ends its own.
 func (n *Node) resume(slept time.Duration) {
 	n.log.Info().Dur("slept", slept).Msg("machine was suspended")
 	if slept >= suspension.Long {
@@ -214,7 +215,7 @@
 
 // leave announces that this process leaves, which hands over its roles, and waits for
 // running requests until the drain timeout.
-func (n *Node) leave(front *http.Server) {
+func (n *Node) leave(callers *http.Server) {
 	n.log.Info().Msg("leaving")
 	n.leaving.Store(true)
 	n.mu.Lock()
@@ -225,7 +226,7 @@
 	time.Sleep(n.settings.Callers.LeaveDelay)
 	ctx, cancel := context.WithTimeout(context.Background(), n.settings.Callers.DrainTimeout)
 	defer cancel()
-	if err := front.Shutdown(ctx); err != nil {
+	if err := callers.Shutdown(ctx); err != nil {
 		n.log.Warn().Int("attempts", n.entry.AttemptCount()).Msg("drain timeout expired with requests running")
 	}
 }
--- a/internal/node/notices_test.go
+++ b/internal/node/notices_test.go
@@ -21,10 +21,10 @@
 // work was sent to the endpoint as before. The gateway had the same fault first.
 func TestEndpointsWithRateLimit(t *testing.T) {
 	const (
-		rate    = 3.0
-		begins  = 3 * time.Second // after it was first announced
-		window  = 4 * time.Second
-		allowed = 1.5*rate*4 + 5
+		rate       = 3.0
+		settleTime = 3 * time.Second // after it was first announced
+		window     = 4 * time.Second
+		allowed    = 1.5*rate*4 + 5
 	)
 	for _, role := range []engine.Role{engine.Service, engine.Prefill, engine.Decode} {
 		t.Run(string(role), func(t *testing.T) {
@@ -40,7 +40,7 @@
 					answered += sendRequests(t, s, role)
 				}
 			}
-			sendFor(begins)
+			sendFor(settleTime)
 			before := target.WorkRequests()
 			sendFor(window)
 			got := target.WorkRequests() - before
--- a/internal/node/suspects.go
+++ b/internal/node/suspects.go
@@ -24,7 +24,7 @@
 	heldPageSize = 200
 )
 
-// openSuspects creates the records of requests that end endpoints.
+// openSuspects creates n.suspects, which records the requests that end endpoints.
 func (n *Node) openSuspects() {
 	n.suspects = suspects.New(suspects.Options{
 		Name: n.settings.Node.ID, Zone: n.settings.Node.Zone, Transport: n.transport, Scope: n.counters.Scope, Now: n.now,
