--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -95,7 +95,7 @@
 	p.runs++
 	n := p.logLine(eventlog.Sent, "", nil)
 	n.Endpoint, n.Address, n.Revision = r.Endpoint.ID, r.Endpoint.Address.String(), p.view.Revision
-	p.trail.Write(n)
+	p.requestLog.Write(n)
 	var head ResponseHead
 	exchange, err := p.Pool.Do(ctx, m, func(resp *http.Response) bool {
 		head = p.Codec.ReadHead(resp)
@@ -115,10 +115,10 @@
 	case p.headSent:
 		n := p.logLine(eventlog.Resumed, p.failure, nil)
 		n.Detail = "after event " + p.lastEventID
-		p.trail.Write(n)
+		p.requestLog.Write(n)
 		p.Scope.Counter("streams_resumed").Inc(1)
 	case p.sends > 0:
-		p.trail.Write(p.logLine(eventlog.Repeated, p.failure, nil))
+		p.requestLog.Write(p.logLine(eventlog.Repeated, p.failure, nil))
 		p.Scope.Tagged(map[string]string{"reason": p.failure}).Counter("sends_repeated").Inc(1)
 	}
 }
@@ -149,10 +149,10 @@
 	ejected := r.Done(p.Now(), result)
 	n := p.logLine(eventlog.EndpointFailed, p.failure, err)
 	n.Endpoint, n.Address = r.Endpoint.ID, r.Endpoint.Address.String()
-	p.trail.Write(n)
+	p.requestLog.Write(n)
 	if ejected > 0 {
 		p.Scope.Counter("endpoints_ejected").Inc(1)
-		p.trail.Write(eventlog.Line{Event: eventlog.EndpointEjected, Endpoint: r.Endpoint.ID, Service: p.service, Reason: p.failure, Took: ejected})
+		p.requestLog.Write(eventlog.Line{Event: eventlog.EndpointEjected, Endpoint: r.Endpoint.ID, Service: p.service, Reason: p.failure, Took: ejected})
 	}
 }
 
@@ -259,7 +259,7 @@
 	if p.inTime {
 		n.Outcome = "in_time"
 	}
-	p.trail.Write(n)
+	p.requestLog.Write(n)
 	p.Scope.Counter("requests_answered").Inc(1)
 	p.Scope.Tagged(map[string]string{"outcome": n.Outcome}).Counter("answers").Inc(1)
 	p.Scope.Histogram("answer_seconds", latencyBuckets).RecordDuration(p.Now().Sub(p.arrived))
--- a/internal/forward/ending.go
+++ b/internal/forward/ending.go
@@ -29,7 +29,7 @@
 // contextEnded ends a request whose deadline has passed or whose caller has disconnected.
 func (p *proxyRequest) contextEnded(ctx context.Context) {
 	if !errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
-		p.trail.Write(p.logLine(eventlog.Cancelled, "caller_left", nil))
+		p.requestLog.Write(p.logLine(eventlog.Cancelled, "caller_left", nil))
 		p.Scope.Counter("requests_cancelled").Inc(1)
 		return
 	}
@@ -41,7 +41,7 @@
 func (p *proxyRequest) giveUp() {
 	switch {
 	case p.headSent:
-		p.trail.Write(p.logLine(eventlog.Broken, p.failure, nil))
+		p.requestLog.Write(p.logLine(eventlog.Broken, p.failure, nil))
 		p.Scope.Counter("requests_broken").Inc(1)
 		panic(http.ErrAbortHandler)
 	case p.fallback != nil:
@@ -64,7 +64,7 @@
 // refuseWith is refuse with a given status and log line.
 func (p *proxyRequest) refuseWith(status int, after time.Duration, n eventlog.Line) {
 	n.Status, n.Wait = status, after
-	p.trail.Write(n)
+	p.requestLog.Write(n)
 	p.Scope.Counter("requests_refused").Inc(1)
 	p.Scope.Tagged(map[string]string{"reason": n.Reason}).Counter("refusals").Inc(1)
 	p.w.Header().Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
@@ -75,7 +75,7 @@
 func (p *proxyRequest) fail(status int) {
 	n := p.logLine(eventlog.GaveUp, p.failure, nil)
 	n.Status = status
-	p.trail.Write(n)
+	p.requestLog.Write(n)
 	p.Scope.Counter("requests_failed").Inc(1)
 	p.Scope.Tagged(map[string]string{"reason": p.failure}).Counter("failures").Inc(1)
 	http.Error(p.w, "may have run: "+p.failure, status)
@@ -85,7 +85,7 @@
 func (p *proxyRequest) reject(status int, reason string, err error) {
 	n := p.logLine(eventlog.Refused, reason, err)
 	n.Status = status
-	p.trail.Write(n)
+	p.requestLog.Write(n)
 	p.Scope.Counter("requests_rejected").Inc(1)
 	http.Error(p.w, err.Error(), status)
 }
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -146,8 +146,8 @@
 	if f.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	p := &proxyRequest{Forwarder: f, w: newTimeoutWriter(w, f.WriteTimeout), arrived: f.Now(), view: f.Directory.View(), trail: f.Log.NewRequestLog()}
-	defer func() { p.trail.End(p.inTime) }()
+	p := &proxyRequest{Forwarder: f, w: newTimeoutWriter(w, f.WriteTimeout), arrived: f.Now(), view: f.Directory.View(), requestLog: f.Log.NewRequestLog()}
+	defer func() { p.requestLog.End(p.inTime) }()
 	defer p.releaseMemory()
 	if p.admit(r) {
 		p.run(r.Context())
--- a/internal/forward/permits.go
+++ b/internal/forward/permits.go
@@ -80,11 +80,11 @@
 // waitToResume waits for the given time if the request is a stream that has begun and the
 // time is short enough: callers give up a stream after a gap of a few seconds. It reports
 // whether it waited to the end.
-func (p *proxyRequest) waitToResume(ctx context.Context, length time.Duration) bool {
-	if !p.headSent || length <= 0 || length > min(resumeWait, p.left()) {
+func (p *proxyRequest) waitToResume(ctx context.Context, wait time.Duration) bool {
+	if !p.headSent || wait <= 0 || wait > min(resumeWait, p.left()) {
 		return false
 	}
-	ticker.Sleep(ctx, length)
+	ticker.Sleep(ctx, wait)
 	return ctx.Err() == nil
 }
 
--- a/internal/forward/place.go
+++ b/internal/forward/place.go
@@ -121,7 +121,7 @@
 func (p *proxyRequest) logPlace(place *broker.Place) {
 	n := p.logLine(eventlog.Placed, "", nil)
 	n.Endpoint, n.Prefill, n.Zone, n.Wait, n.Count = place.Decode, place.Prefill, place.Zone, place.PrefillWait, int64(place.UsedTokens)
-	p.trail.Write(n)
+	p.requestLog.Write(n)
 	if p.headSent {
 		return
 	}
--- a/internal/forward/prefill.go
+++ b/internal/forward/prefill.go
@@ -53,8 +53,8 @@
 }
 
 // handleFresh reports whether there is a KV cache that has not expired.
-func (p *prefillState) handleFresh(now clock.Millis, life time.Duration) bool {
-	return p.handle != nil && now.Sub(p.finishedAt) < life*handleLifePercent/100
+func (p *prefillState) handleFresh(now clock.Millis, lifetime time.Duration) bool {
+	return p.handle != nil && now.Sub(p.finishedAt) < lifetime*handleLifePercent/100
 }
 
 // engineStep gets a place at engines for the request, runs the prefill there and sends the
@@ -170,8 +170,8 @@
 	if h.handle == nil {
 		return
 	}
-	life := p.view.Table.Service(p.service).Engine.HandleLife
-	if h.handleFresh(p.Now(), life) && len(h.rejected) < maxHandleRejections {
+	lifetime := p.view.Table.Service(p.service).Engine.HandleLife
+	if h.handleFresh(p.Now(), lifetime) && len(h.rejected) < maxHandleRejections {
 		return
 	}
 	if !h.uncertain {
@@ -275,7 +275,7 @@
 	r.Done(p.Now(), result)
 	n := p.logLine(eventlog.PrefillFailed, "", err)
 	n.Endpoint, n.Address = r.Endpoint.ID, r.Endpoint.Address.String()
-	p.trail.Write(n)
+	p.requestLog.Write(n)
 	if result == balance.Failed {
 		p.checkProcessEnded(parent, r.Endpoint)
 	}
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -37,7 +37,7 @@
 	w := p.work()
 	n := p.logLine(eventlog.EndpointEnded, p.failure, nil)
 	n.Endpoint, n.Address, n.Fingerprint = e.ID, e.Address.String(), w.Fingerprint().String()
-	p.trail.Write(n)
+	p.requestLog.Write(n)
 	p.Scope.Counter("endpoints_ended").Inc(1)
 	p.Suspects.RecordEnd(w, e.ID)
 }
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -18,13 +18,13 @@
 // answered.
 type proxyRequest struct {
 	*Forwarder
-	w       *timeoutWriter
-	arrived clock.Millis
-	trail   *eventlog.RequestLog
-	inTime  bool // answered successfully within the route's target
-	view    *directory.View
-	call    Call
-	route   *route.Route
+	w          *timeoutWriter
+	arrived    clock.Millis
+	requestLog *eventlog.RequestLog
+	inTime     bool // answered successfully within the route's target
+	view       *directory.View
+	call       Call
+	route      *route.Route
 	// workspace is the caller's workspace; nil in a deployment without workspaces,
 	// and on open routes for callers without a key.
 	workspace     *route.Workspace
@@ -185,7 +185,7 @@
 
 // budgetSpent ends a request for lack of retry budget.
 func (p *proxyRequest) budgetSpent() stepResult {
-	p.trail.Write(p.logLine(eventlog.BudgetSpent, p.failure, nil))
+	p.requestLog.Write(p.logLine(eventlog.BudgetSpent, p.failure, nil))
 	p.Scope.Counter("budget_spent").Inc(1)
 	p.failure = "budget_spent"
 	return stepGiveUp
--- a/internal/forward/silence.go
+++ b/internal/forward/silence.go
@@ -131,7 +131,7 @@
 func (p *proxyRequest) engineFinder(ctx context.Context, exclude []string) func() *alternative {
 	req := p.newPlaceRequest("m" + strconv.Itoa(p.sends))
 	req.Late, req.Part = true, placement.Both
-	again, budget := p.prefill.sends > 0, p.budget(p.service)
+	hasPrefilled, budget := p.prefill.sends > 0, p.budget(p.service)
 	return func() *alternative {
 		left := p.left() - minAnswerTime
 		if left <= 0 {
@@ -146,7 +146,7 @@
 			return nil
 		}
 		alt := &alternative{place: place, paidSends: 1}
-		if again && place.Prefill != "" {
+		if hasPrefilled && place.Prefill != "" {
 			alt.paidSends++ // another prefill
 		}
 		alt.release = func() {
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -39,7 +39,7 @@
 		if !written {
 			x.Close(false)
 			r.Done(p.Now(), balance.Canceled)
-			p.trail.Write(p.logLine(eventlog.Cancelled, "caller_left", nil))
+			p.requestLog.Write(p.logLine(eventlog.Cancelled, "caller_left", nil))
 			return true
 		}
 		p.timing.event(p.Now())
@@ -116,9 +116,9 @@
 		if len(event) > maxEventBytes {
 			return event, "", Error.New("an event exceeds %d bytes", maxEventBytes)
 		}
-		whole := !partial
+		lineStart := !partial
 		partial = err != nil
-		if partial || !whole {
+		if partial || !lineStart {
 			continue
 		}
 		if value, ok := bytes.CutPrefix(line, []byte("id:")); ok {
--- a/internal/forward/unavailable_test.go
+++ b/internal/forward/unavailable_test.go
@@ -88,7 +88,7 @@
 	match, ok := table.Match("h", "/x")
 	c.Assert(ok, qt.IsTrue)
 	g.proxyRequest = &proxyRequest{
-		Forwarder: f, arrived: now(), view: d.View(), trail: log.NewRequestLog(), route: match, service: "llm",
+		Forwarder: f, arrived: now(), view: d.View(), requestLog: log.NewRequestLog(), route: match, service: "llm",
 		deadline: now().Add(time.Minute), call: Call{ID: "r1", PromptTokens: 100, MaxOutputTokens: 10},
 	}
 	return g
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -54,7 +54,7 @@
 	ctx         context.Context
 	stop        context.CancelFunc
 	group       sync.WaitGroup
-	cut         atomic.Pointer[func(netip.AddrPort) bool]
+	lost        atomic.Pointer[func(netip.AddrPort) bool] // set by Partition; may be nil
 
 	// Lock order: linksMu, a link's mu, callsMu. None of them is held while sending.
 	linksMu      sync.Mutex
@@ -119,7 +119,7 @@
 
 // Partition drops every message to an address for which lost returns true, to simulate a
 // network partition in tests.
-func (t *Transport) Partition(lost func(netip.AddrPort) bool) { t.cut.Store(&lost) }
+func (t *Transport) Partition(lost func(netip.AddrPort) bool) { t.lost.Store(&lost) }
 
 // Publish queues messages for the address in their metadata under To and returns. An
 // error means that a message was definitely not sent.
@@ -129,7 +129,7 @@
 		if err != nil {
 			return Error.New("message to %q: %v", m.Metadata.Get(To), err)
 		}
-		if cut := t.cut.Load(); cut != nil && (*cut)(to) {
+		if lost := t.lost.Load(); lost != nil && (*lost)(to) {
 			t.scope.Counter("peer_cut").Inc(1)
 			continue
 		}
