--- a/internal/forward/silence.go
+++ b/internal/forward/silence.go
@@ -49,7 +49,7 @@
 	place       *broker.Place        // at model engines
 	reservation *balance.Reservation // at an endpoint of a plain service
 	paidSends   int                  // sends taken from the retry budget
-	release     func()               // gives the reservation and the budget back
+	release     func()               // gives back the place, or the reservation with its permit, and the budget
 }
 
 // watchSilence starts the silence watch of an attempt at an endpoint.
