--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -203,9 +203,9 @@
 	return Error.Wrap(n.counters.Close())
 }
 
-// resume replaces connections after the machine was suspended. Other processes have taken
-// over this process's attempts meanwhile, so the entry, which detects the suspension by
-// the clock, ends its own.
+// resume replaces connections if the machine was suspended for suspension.Long or more.
+// Dispatchers may have ended this process's attempts meanwhile and given their places to
+// others; the entry detects that by the clock and ends the attempts.
 func (n *Node) resume(slept time.Duration) {
 	n.log.Info().Dur("slept", slept).Msg("machine was suspended")
 	if slept >= suspension.Long {
