--- a/internal/forward/prefill.go
+++ b/internal/forward/prefill.go
@@ -21,8 +21,9 @@
 	// maxPrefillSends bounds how often the prompt of one request is sent to prefill
 	// engines; after that a decode engine computes the prefill.
 	maxPrefillSends = 2
-	// A prefill times out after prefillTimeoutFactor times its predicted duration plus
-	// prefillTimeoutSlack. Both are generous, because an aborted prefill is wasted work.
+	// A prefill times out after prefillTimeoutFactor times its predicted duration plus twice
+	// its predicted wait plus prefillTimeoutSlack. Factor and slack are generous, because an
+	// aborted prefill is wasted work.
 	prefillTimeoutFactor = 4
 	prefillTimeoutSlack  = 800 * time.Millisecond
 	// handleLifePercent is the percentage of a KV cache's lifetime after which it counts as
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -11,7 +11,8 @@
 	"github.com/quic-go/quic-go"
 )
 
-// linkIdleTimeout is how long an unused link keeps its connection.
+// linkIdleTimeout is how long an unused link keeps its connection, at least: links are
+// checked at this interval, and one that was not used since the last check is closed.
 const linkIdleTimeout = 30 * time.Second
 
 // link sends the frames for one address in order. It dials when there is something to
