--- a/internal/forward/silence.go
+++ b/internal/forward/silence.go
@@ -49,7 +49,7 @@
 	place       *broker.Place        // at model engines
 	reservation *balance.Reservation // at an endpoint of a plain service
 	paidSends   int                  // sends taken from the retry budget
-	release     func()               // gives the reservation and the budget back
+	release     func()               // gives back the place, or the reservation with its permit, and the budget
 }
 
 // watchSilence starts the silence watch of an attempt at an endpoint.
@@ -101,7 +101,8 @@
 	}
 }
 
-// reset restarts the timer after the endpoint has sent something.
+// reset is called after the endpoint has sent something. It ends a suspension and, for a
+// stream, restarts the timer with the gap.
 func (s *silenceWatch) reset() {
 	if s == nil {
 		return
@@ -130,7 +131,7 @@
 func (p *proxyRequest) engineFinder(ctx context.Context, exclude []string) func() *alternative {
 	req := p.newPlaceRequest("m" + strconv.Itoa(p.sends))
 	req.Late, req.Part = true, placement.Both
-	again, budget := p.prefill.sends > 0, p.budget(p.service)
+	hasPrefilled, budget := p.prefill.sends > 0, p.budget(p.service)
 	return func() *alternative {
 		left := p.left() - minAnswerTime
 		if left <= 0 {
@@ -145,7 +146,7 @@
 			return nil
 		}
 		alt := &alternative{place: place, paidSends: 1}
-		if again && place.Prefill != "" {
+		if hasPrefilled && place.Prefill != "" {
 			alt.paidSends++ // another prefill
 		}
 		alt.release = func() {
