--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -57,9 +57,9 @@
 	List func(ctx context.Context, read func(entries int)) (Update, error)
 	// ListStale reads everything as it was up to some seconds ago, which costs a tenth of a
 	// current read. It passes what it finds first to early before the rest has been read,
-	// and its News need not repeat it.
+	// and its Update need not repeat it.
 	ListStale func(ctx context.Context, early func(Update)) (Update, error)
-	// Configuration reads only the configuration; its News has no Revision.
+	// Configuration reads only the configuration; its Update has no Revision.
 	Configuration func(ctx context.Context) (Update, error)
 	// HeadRevision returns the store's revision.
 	HeadRevision func(ctx context.Context) (int64, error)
@@ -76,12 +76,12 @@
 	// which changes must be in force: changes that come close together, as when a fleet
 	// starts, are returned by one call.
 	batchPauseFraction = 0.125
-	// startupBatchPause replaces that pause during startupPeriod, the first time after the
-	// process started. Where a whole fleet starts, each instance needs within the first
-	// half second the certificates by which planners and other instances recognise each
-	// other; a few more calls by the watchers are the price. Each change is announced to
-	// the whole zone, so the pause is at least batchPausePerInstance for each instance of
-	// the zone, up to the usual pause.
+	// startupBatchPause replaces that pause while the process is younger than
+	// startupPeriod. Where a whole fleet starts, each instance needs within the first half
+	// second the certificates by which planners and other instances recognise each other;
+	// a few more calls by the watchers are the price. Each change is announced to the
+	// whole zone, so the pause is at least batchPausePerInstance for each instance of the
+	// zone, up to the usual pause.
 	startupBatchPause     = 100 * time.Millisecond
 	startupPeriod         = 2 * time.Second
 	batchPausePerInstance = 3 * time.Millisecond
@@ -113,8 +113,8 @@
 	// again.
 	Lost, Regained func()
 	// Watching reports whether this instance is to watch the store itself; others get
-	// changes from peers. Told is called after the directory has taken something from the
-	// store.
+	// changes from peers. Updated is called after the directory has taken something from
+	// the store.
 	Watching func() bool
 	Updated  func()
 	// RosterChanged is called when the roster may have changed.
@@ -249,18 +249,18 @@
 }
 
 // ApplyUpdate applies what the store returned and logs what it changed.
-func (f *Feed) ApplyUpdate(n Update) {
-	for _, p := range n.Problems {
+func (f *Feed) ApplyUpdate(u Update) {
+	for _, p := range u.Problems {
 		f.logUnreadable(p)
 	}
 	// Instances first: peers request what they lack by the directory's revision, which must
 	// not be ahead of the instances that they are sent.
-	f.applyInstances(n)
-	if s := n.Suspects; f.Suspects != nil && (s.Complete || len(s.Records)+len(s.Released)+len(s.Errors) > 0) {
+	f.applyInstances(u)
+	if s := u.Suspects; f.Suspects != nil && (s.Complete || len(s.Records)+len(s.Released)+len(s.Errors) > 0) {
 		f.Suspects(s)
 	}
 	var changes []directory.Change
-	for _, e := range n.Events {
+	for _, e := range u.Events {
 		changes = append(changes, f.Directory.Apply(f.Now(), e)...)
 	}
 	f.logChanges(changes)
@@ -283,26 +283,26 @@
 }
 
 // applyInstances applies what the store returned about instances to the roster and logs it.
-func (f *Feed) applyInstances(n Update) {
-	if !n.AllInstances && len(n.Instances)+len(n.GoneInstances) == 0 {
+func (f *Feed) applyInstances(u Update) {
+	if !u.AllInstances && len(u.Instances)+len(u.GoneInstances) == 0 {
 		return
 	}
-	removed := n.GoneInstances
-	if n.AllInstances {
-		removed = append(removed, f.Roster.Missing(n.Instances, n.Revision)...)
+	removed := u.GoneInstances
+	if u.AllInstances {
+		removed = append(removed, f.Roster.Missing(u.Instances, u.Revision)...)
 	}
-	seen := slices.DeleteFunc(slices.Clone(n.Instances), func(i roster.Instance) bool { return !f.Roster.Update(i) })
+	seen := slices.DeleteFunc(slices.Clone(u.Instances), func(i roster.Instance) bool { return !f.Roster.Update(i) })
 	// Each removal at its own revision: one read may return the removal of an entry and its
 	// return. When removals had the revision of the read, whole zones lacked each other's
 	// planners for tens of seconds after a loss of connection.
 	var names []string
-	for _, d := range removed {
-		if f.Roster.Remove(d) {
-			names = append(names, d.Name)
+	for _, r := range removed {
+		if f.Roster.Remove(r) {
+			names = append(names, r.Name)
 		}
 	}
-	f.logSeen(seen, n.Revision)
-	f.logGone(names, n.Revision)
+	f.logSeen(seen, u.Revision)
+	f.logGone(names, u.Revision)
 	f.RosterChanged()
 }
 
@@ -350,8 +350,8 @@
 	return err
 }
 
-// ObserveCall takes the outcome of another call to the store. A failure cancels the watch in
-// progress, which may wait on a dead connection.
+// ObserveCall takes the outcome of another call to the store. A failure cancels the watch
+// in progress, which may wait on a dead connection.
 func (f *Feed) ObserveCall(err error) {
 	if err == nil {
 		return
@@ -374,10 +374,10 @@
 	for _, c := range changes {
 		counts[c.Kind]++
 	}
-	for what, count := range counts {
+	for kind, count := range counts {
 		if count > maxChangeLines {
 			f.Log.Write(eventlog.Line{
-				Event: eventlog.Believed, Outcome: string(what), Count: int64(count), Revision: f.Directory.View().Revision,
+				Event: eventlog.Believed, Outcome: string(kind), Count: int64(count), Revision: f.Directory.View().Revision,
 			})
 		}
 	}
--- a/internal/relay/hint.go
+++ b/internal/relay/hint.go
@@ -12,7 +12,8 @@
 )
 
 const (
-	// minAnnounceAge is how long after its start an instance sends no hints to its zone.
+	// minAnnounceAge is the age up to which an instance does not announce changes to its
+	// zone: it does not know all the others yet (see isAnnouncer).
 	minAnnounceAge = roster.JoinDelay / 2
 	// backupDelayFraction is the delay of the second watcher, as a fraction of the time
 	// within which a change must be in force. It exceeds the eighth of that time during
@@ -85,9 +86,9 @@
 		return // an instance whose view is certain makes the announcement
 	}
 	var addresses []netip.AddrPort
-	for _, f := range to {
-		if f.Name != r.Name {
-			addresses = append(addresses, f.Address)
+	for _, i := range to {
+		if i.Name != r.Name {
+			addresses = append(addresses, i.Address)
 		}
 	}
 	list := []Hint{{Revision: revision, Digest: v.Digest}}
--- a/internal/relay/pull.go
+++ b/internal/relay/pull.go
@@ -71,8 +71,8 @@
 	return resp, true
 }
 
-// applyTable applies the configuration of a response if it has one, or requests it from the
-// store.
+// applyTable applies the configuration of a response if it has one, and has it read from
+// the store if the response says so.
 func (r *Relay) applyTable(other roster.Instance, resp Response) {
 	if resp.Document != nil {
 		table, err := route.NewTable(*resp.Document)
@@ -110,9 +110,9 @@
 	}
 }
 
-// pullPeerCount is how many peers an instance that is disconnected from the store pulls from.
-// Each peer serves about as many; pulling from all of a large fleet would soon connect it
-// to all.
+// pullPeerCount is how many peers an instance that is disconnected from the store pulls
+// from. Each peer serves about as many; pulling from all of a large fleet would soon
+// connect the instance to all.
 const pullPeerCount = 8
 
 // pickPeer returns the peer called name or, if name is empty, one of its pull peers.
@@ -124,7 +124,7 @@
 }
 
 // pullPeer returns one of an instance's pull peers. They are spread over the list, which is
-// ordered by name and so mostly by zone. Each value of turn selects others.
+// ordered by name and so mostly by zone. Each value of rotation selects others.
 func pullPeer(all []roster.Instance, own string, number, rotation int) (roster.Instance, bool) {
 	at, known := slices.BinarySearchFunc(all, own, func(i roster.Instance, name string) int { return cmp.Compare(i.Name, name) })
 	others := len(all)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -100,9 +100,9 @@
 	Capacity  float64 // of this instance's processor, in cores
 	// ApplyEvent applies an event to the directory.
 	ApplyEvent func(directory.Event)
-	// ApplyInstances applies what a peer knows of instances; whole says that the lists are
-	// complete.
-	ApplyInstances func(seen []roster.Instance, left []roster.Removal, whole bool, revision int64)
+	// ApplyInstances applies what a peer knows of instances; complete says that the lists
+	// are complete.
+	ApplyInstances func(seen []roster.Instance, removed []roster.Removal, complete bool, revision int64)
 	// ReadZone reads the instances of the own zone from the store.
 	ReadZone func(context.Context) error
 	// HeadRevision reads the store's revision. List has the feed read everything, CatchUp the
@@ -134,7 +134,7 @@
 	rotation      atomic.Int64 // of pull peers; raised when one does not answer, so that all are replaced
 
 	seeding    atomic.Bool
-	progress   atomic.Int64 // see Progressed
+	progress   atomic.Int64 // see AddProgress
 	announceAt atomic.Int64 // when the delayed announcement is due, in milliseconds; 0: there is none
 	ticker     *ticker.Ticker
 	responses  responseCache
@@ -303,8 +303,8 @@
 
 // rank returns this instance's rank in its zone, or 0 while the roster does not have it.
 func (r *Relay) rank() int {
-	place, _ := r.Roster.Rank(r.Zone, roleWatch, r.Name)
-	return place
+	rank, _ := r.Roster.Rank(r.Zone, roleWatch, r.Name)
+	return rank
 }
 
 // checkStore reads the store's revision and announces it to the zone.
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -31,9 +31,9 @@
 			c.Check(resp.More, qt.IsFalse)
 			c.Check(resp.Endpoints, qt.HasLen, size)
 		}
-		part := r.buildResponse(r.Directory.View(), Request{})
-		c.Check(part.Complete, qt.Equals, size <= maxResponseEndpoints)
-		c.Check(part.Endpoints, qt.HasLen, min(size, maxResponseEndpoints))
+		first := r.buildResponse(r.Directory.View(), Request{})
+		c.Check(first.Complete, qt.Equals, size <= maxResponseEndpoints)
+		c.Check(first.Endpoints, qt.HasLen, min(size, maxResponseEndpoints))
 	}
 }
 
@@ -68,7 +68,7 @@
 			}
 		}
 		for _, n := range pulledBy {
-			c.Assert(n <= 2*pullPeerCount, qt.IsTrue, qt.Commentf("asked by %d of %d", n, size))
+			c.Assert(n <= 2*pullPeerCount, qt.IsTrue, qt.Commentf("serves %d of %d", n, size))
 		}
 		if size > 1 { // also for an instance that is not in the roster yet
 			other, ok := pullPeer(all, "another", 3, 0)
--- a/internal/relay/response_cache.go
+++ b/internal/relay/response_cache.go
@@ -26,28 +26,28 @@
 type responseCache struct {
 	mu      sync.Mutex
 	view    *directory.View   // the view that the responses are built from
-	version int64             // of the configuration, as the responses say
+	version int64             // of the newest configuration, as the responses name it
 	entries []*cachedResponse // the newest last
 }
 
 // get returns the response to a request at a view, and builds it if it is not cached.
-func (r *responseCache) get(v *directory.View, version int64, req Request, build func(*directory.View, Request) Response) (*cachedResponse, error) {
+func (c *responseCache) get(v *directory.View, version int64, req Request, build func(*directory.View, Request) Response) (*cachedResponse, error) {
 	if req.Revision != v.Revision {
 		req.Digest = 0 // digests are compared only at the same revision
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.view != v || r.version != version {
-		r.view, r.version, r.entries = v, version, nil
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.view != v || c.version != version {
+		c.view, c.version, c.entries = v, version, nil
 	}
-	if at := slices.IndexFunc(r.entries, func(x *cachedResponse) bool { return x.request == req }); at >= 0 {
-		return r.entries[at], nil
+	if at := slices.IndexFunc(c.entries, func(x *cachedResponse) bool { return x.request == req }); at >= 0 {
+		return c.entries[at], nil
 	}
 	built := &cachedResponse{request: req, response: build(v, req)}
 	var err error
 	if built.encoded, err = peer.Encode(built.response); err != nil {
 		return nil, err
 	}
-	r.entries = append(r.entries[max(0, len(r.entries)-maxCachedResponses+1):], built)
+	c.entries = append(c.entries[max(0, len(c.entries)-maxCachedResponses+1):], built)
 	return built, nil
 }
--- a/internal/relay/seed.go
+++ b/internal/relay/seed.go
@@ -34,9 +34,9 @@
 // Seed gets all endpoints from the own zone, where there are too many for each instance to
 // read them from the store: a starting fleet, or one of which many instances lack
 // something, would take minutes of the store's link. It returns false if this instance has
-// to read the store itself: it watches for the zone, or no instance it asked made progress
-// within the bound. The watchers need longer in a larger fleet, so Seed waits as long as
-// they make progress.
+// to read the store itself: it watches for the zone, the zone's instances could not be
+// read, or none that it sent requests to made progress within the bound. The watchers need
+// longer in a larger fleet, so Seed waits as long as they make progress.
 func (r *Relay) Seed(ctx context.Context) bool {
 	r.seeding.Store(true)
 	defer r.seeding.Store(false)
@@ -66,8 +66,8 @@
 }
 
 // pickSeeder returns an instance of the zone that may have all endpoints: a watcher or, if
-// watchers have named any, an instance that got them from a watcher. To ask others would
-// connect every instance to every other while none has the endpoints.
+// watchers have named any, an instance that got them from a watcher. Requests to others
+// would connect every instance to every other while none has the endpoints.
 func (s *seedRun) pickSeeder() (roster.Instance, bool) {
 	zone := s.zoneMembers()
 	if len(zone) == 0 {
@@ -89,7 +89,7 @@
 type seedRun struct {
 	*Relay
 	advancedAt  clock.Millis     // when something was received, or a seeder had made progress
-	progress    map[string]int64 // of the instances asked, by name
+	progress    map[string]int64 // of the instances that got requests, by name
 	revision    int64
 	seeders     []string        // may have all endpoints
 	present     map[string]bool // by entry
