--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -62,11 +62,11 @@
 	ColdFor   time.Duration  `cbor:"11,keyasint,omitempty"` // how long it would stay cold, when this entry was written
 }
 
-// WithStart returns the endpoint as the incarnation that started at born.
-func (e Endpoint) WithStart(born int64) Endpoint {
-	e.StartedAt, e.ID = born, e.Entry
-	if born != 0 {
-		e.ID += startSeparator + strconv.FormatInt(born, 36)
+// WithStart returns the endpoint as the incarnation that started at startedAt.
+func (e Endpoint) WithStart(startedAt int64) Endpoint {
+	e.StartedAt, e.ID = startedAt, e.Entry
+	if startedAt != 0 {
+		e.ID += startSeparator + strconv.FormatInt(startedAt, 36)
 	}
 	return e
 }
@@ -94,7 +94,7 @@
 	return e.Revision < o.Revision || e.Revision == o.Revision && e.entry() < o.entry()
 }
 
-// hash returns the endpoint's part of a view's digest.
+// hash returns what the endpoint contributes to a view's digest.
 func (e *Endpoint) hash() uint64 {
 	return xxhash.Sum64String(e.ID + strconv.FormatInt(e.Revision, 16))
 }
@@ -127,7 +127,7 @@
 
 	mu              sync.Mutex
 	table           *route.Table
-	tableRev        int64
+	tableRevision   int64
 	endpoints       map[string]*record     // by entry
 	byRevision      *btree.BTreeG[*record] // endpoints by revision and entry
 	removedAt       map[string]int64       // by entry: revision of its removal
@@ -143,7 +143,7 @@
 	storeReturnedAt clock.Millis // when the store was last reached again; 0 if it was never lost
 }
 
-// record is an endpoint with the doubts about it.
+// record is an endpoint with what is doubtful about it.
 type record struct {
 	endpoint *Endpoint // replaced, never modified, since views share it
 	missing  bool      // the store does not list it
@@ -177,8 +177,8 @@
 	if _, leaving := d.leaving[e.ID]; leaving || d.removedAt[e.entry()] >= e.Revision || d.isEvacuated(e.Zone) {
 		return true
 	}
-	h := d.endpoints[e.entry()]
-	return h != nil && (h.denied && h.endpoint.ID == e.ID || e.before(*h.endpoint))
+	rec := d.endpoints[e.entry()]
+	return rec != nil && (rec.denied && rec.endpoint.ID == e.ID || e.before(*rec.endpoint))
 }
 
 // Apply applies one event and returns what it changed.
@@ -229,7 +229,7 @@
 	if d.table != nil && e.Table.Version <= d.table.Version {
 		return nil
 	}
-	d.table, d.tableRev = e.Table, e.Revision
+	d.table, d.tableRevision = e.Table, e.Revision
 	return []Change{{Kind: ConfigurationChanged, Version: e.Table.Version, Revision: e.Revision}}
 }
 
@@ -245,8 +245,8 @@
 	for _, entry := range e.PresentEntries {
 		present[entry] = true
 	}
-	for entry, h := range d.endpoints {
-		if present[entry] || h.endpoint.Revision > e.Revision {
+	for entry, rec := range d.endpoints {
+		if present[entry] || rec.endpoint.Revision > e.Revision {
 			continue
 		}
 		changes = append(changes, d.applyRemoval(now, Removed{Entry: entry, Revision: e.Revision})...)
@@ -266,13 +266,13 @@
 		changes = append(changes, d.applyEntry(p)...)
 	}
 	for _, g := range e.Removed {
-		if h := d.endpoints[g.Entry]; h != nil && h.endpoint.Revision <= g.Revision {
-			changes = append(changes, d.removeEndpoint(h, g.Revision)...)
+		if rec := d.endpoints[g.Entry]; rec != nil && rec.endpoint.Revision <= g.Revision {
+			changes = append(changes, d.removeEndpoint(rec, g.Revision)...)
 		}
 	}
-	for entry, h := range d.endpoints {
-		if e.Complete && !present[entry] && h.endpoint.Revision <= e.Revision {
-			changes = append(changes, d.removeEndpoint(h, e.Revision)...)
+	for entry, rec := range d.endpoints {
+		if e.Complete && !present[entry] && rec.endpoint.Revision <= e.Revision {
+			changes = append(changes, d.removeEndpoint(rec, e.Revision)...)
 		}
 	}
 	if e.Complete {
@@ -293,13 +293,13 @@
 	defer d.mu.Unlock()
 	out := PeerUpdate{Revision: d.revision, Digest: d.view.Load().Digest}
 	after := revision + 1
-	d.byRevision.Ascend(&record{endpoint: &Endpoint{Revision: after}}, func(h *record) bool {
+	d.byRevision.Ascend(&record{endpoint: &Endpoint{Revision: after}}, func(rec *record) bool {
 		// Entries of one revision stay together: the peer continues after that revision.
-		if n := len(out.Endpoints); limit > 0 && n >= limit && out.Endpoints[n-1].Revision < h.endpoint.Revision {
+		if n := len(out.Endpoints); limit > 0 && n >= limit && out.Endpoints[n-1].Revision < rec.endpoint.Revision {
 			out.More, out.Revision, out.Digest = true, out.Endpoints[n-1].Revision, 0
 			return false
 		}
-		out.Endpoints = append(out.Endpoints, *h.endpoint)
+		out.Endpoints = append(out.Endpoints, *rec.endpoint)
 		return true
 	})
 	out.Complete = revision == 0 && !out.More
@@ -326,66 +326,66 @@
 		return nil
 	}
 	p = p.interned()
-	h := d.endpoints[p.entry()]
-	if h == nil {
+	rec := d.endpoints[p.entry()]
+	if rec == nil {
 		d.add(p)
 		return []Change{{Kind: EndpointJoined, Endpoint: p, Revision: p.Revision}}
 	}
-	before := *h.endpoint
+	before := *rec.endpoint
 	if p.before(before) {
-		if h.missing && p.Revision > before.Revision {
-			d.setMissing(h, false) // the entry exists, though an earlier incarnation wrote it
+		if rec.missing && p.Revision > before.Revision {
+			d.setMissing(rec, false) // the entry exists, though an earlier incarnation wrote it
 		}
 		return nil
 	}
 	if before.ID != p.ID {
-		d.discard(h)
+		d.discard(rec)
 		d.add(p)
 		return []Change{
 			{Kind: EndpointGone, Endpoint: before, Revision: p.Revision},
 			{Kind: EndpointJoined, Endpoint: p, Revision: p.Revision},
 		}
 	}
-	wasMissing, wasDenied := h.missing, h.denied
-	h.denied = wasDenied && p.Revision == before.Revision // a new entry is trusted again
-	d.setMissing(h, false)
-	d.replace(h, p)
+	wasMissing, wasDenied := rec.missing, rec.denied
+	rec.denied = wasDenied && p.Revision == before.Revision // a new entry is trusted again
+	d.setMissing(rec, false)
+	d.replace(rec, p)
 	if before.State != p.State {
 		return []Change{{Kind: EndpointLeaving, Endpoint: p, Revision: p.Revision}}
 	}
 	before.Revision = p.Revision
-	if before == p && !wasMissing && wasDenied == h.denied {
+	if before == p && !wasMissing && wasDenied == rec.denied {
 		return nil
 	}
 	return []Change{{Kind: EndpointChanged, Endpoint: p, Revision: p.Revision}}
 }
 
-// applyRemoval applies the removal of an entry. While the store is settling, a ready endpoint
-// is only marked as missing.
+// applyRemoval applies the removal of an entry. While the store is lost or settling, a ready
+// endpoint is only marked as missing.
 func (d *Directory) applyRemoval(now clock.Millis, e Removed) []Change {
-	h := d.endpoints[e.Entry]
-	if h == nil {
+	rec := d.endpoints[e.Entry]
+	if rec == nil {
 		d.recordRemoval(e)
 		return nil
 	}
-	if e.Revision < h.endpoint.Revision {
+	if e.Revision < rec.endpoint.Revision {
 		return nil
 	}
-	if d.state(h) == Ready && d.settling(now) {
-		if !h.missing {
-			d.setMissing(h, true)
-			return []Change{{Kind: EndpointMissing, Endpoint: *h.endpoint, Revision: e.Revision}}
+	if d.state(rec) == Ready && d.settling(now) {
+		if !rec.missing {
+			d.setMissing(rec, true)
+			return []Change{{Kind: EndpointMissing, Endpoint: *rec.endpoint, Revision: e.Revision}}
 		}
 		return nil
 	}
-	return d.removeEndpoint(h, e.Revision)
+	return d.removeEndpoint(rec, e.Revision)
 }
 
 // removeEndpoint removes an endpoint and records the removal of its entry.
-func (d *Directory) removeEndpoint(h *record, revision int64) []Change {
-	d.discard(h)
-	d.recordRemoval(Removed{Entry: h.endpoint.entry(), Revision: revision})
-	return []Change{{Kind: EndpointGone, Endpoint: *h.endpoint, Revision: revision}}
+func (d *Directory) removeEndpoint(rec *record, revision int64) []Change {
+	d.discard(rec)
+	d.recordRemoval(Removed{Entry: rec.endpoint.entry(), Revision: revision})
+	return []Change{{Kind: EndpointGone, Endpoint: *rec.endpoint, Revision: revision}}
 }
 
 // recordRemoval records that an entry was removed, so that no older fact restores it.
@@ -404,20 +404,20 @@
 // markDenied stops the use of an endpoint whose address turned out to belong to another. It
 // stays in the digest, since peers have no newer facts that could resolve a difference.
 func (d *Directory) markDenied(e Denied) []Change {
-	h := d.find(e.ID)
-	if h == nil || h.denied {
+	rec := d.find(e.ID)
+	if rec == nil || rec.denied {
 		return nil
 	}
-	h.denied = true
-	d.updateIndex(h)
-	return []Change{{Kind: EndpointDenied, Endpoint: *h.endpoint, Revision: h.endpoint.Revision}}
+	rec.denied = true
+	d.updateIndex(rec)
+	return []Change{{Kind: EndpointDenied, Endpoint: *rec.endpoint, Revision: rec.endpoint.Revision}}
 }
 
 // find returns the record of the incarnation with an ID if it is the current one, or nil.
 func (d *Directory) find(id string) *record {
 	for _, entry := range []string{id, entryFromID(id)} {
-		if h := d.endpoints[entry]; h != nil && h.endpoint.ID == id {
-			return h
+		if rec := d.endpoints[entry]; rec != nil && rec.endpoint.ID == id {
+			return rec
 		}
 	}
 	return nil
@@ -425,37 +425,37 @@
 
 // add starts a record of an endpoint.
 func (d *Directory) add(p Endpoint) {
-	h := &record{endpoint: &p}
-	d.endpoints[p.entry()] = h
-	d.byRevision.Set(h)
+	rec := &record{endpoint: &p}
+	d.endpoints[p.entry()] = rec
+	d.byRevision.Set(rec)
 	d.digest ^= p.hash()
-	d.updateIndex(h)
+	d.updateIndex(rec)
 }
 
 // discard removes the record of an endpoint.
-func (d *Directory) discard(h *record) {
-	d.setMissing(h, false)
-	delete(d.endpoints, h.endpoint.entry())
-	d.byRevision.Delete(h)
-	d.digest ^= h.endpoint.hash()
-	d.index.remove(h.endpoint.ID)
+func (d *Directory) discard(rec *record) {
+	d.setMissing(rec, false)
+	delete(d.endpoints, rec.endpoint.entry())
+	d.byRevision.Delete(rec)
+	d.digest ^= rec.endpoint.hash()
+	d.index.remove(rec.endpoint.ID)
 	d.leavingIDs = nil
 }
 
 // replace replaces an entry by a newer one of the same incarnation.
-func (d *Directory) replace(h *record, p Endpoint) {
-	d.byRevision.Delete(h)
-	d.digest ^= h.endpoint.hash() ^ p.hash()
-	h.endpoint = &p
-	d.byRevision.Set(h)
-	d.updateIndex(h)
+func (d *Directory) replace(rec *record, p Endpoint) {
+	d.byRevision.Delete(rec)
+	d.digest ^= rec.endpoint.hash() ^ p.hash()
+	rec.endpoint = &p
+	d.byRevision.Set(rec)
+	d.updateIndex(rec)
 }
 
-func (d *Directory) setMissing(h *record, missing bool) {
-	if h.missing == missing {
+func (d *Directory) setMissing(rec *record, missing bool) {
+	if rec.missing == missing {
 		return
 	}
-	h.missing = missing
+	rec.missing = missing
 	if missing {
 		d.missing++
 	} else {
@@ -464,16 +464,16 @@
 }
 
 // updateIndex brings an endpoint's current state into the next view.
-func (d *Directory) updateIndex(h *record) {
+func (d *Directory) updateIndex(rec *record) {
 	if len(d.leaving) > 0 {
 		d.leavingIDs = nil
 	}
-	if h.denied {
-		d.index.remove(h.endpoint.ID)
+	if rec.denied {
+		d.index.remove(rec.endpoint.ID)
 		return
 	}
-	e := h.endpoint
-	state := d.state(h)
+	e := rec.endpoint
+	state := d.state(rec)
 	if d.isEvacuated(e.Zone) {
 		state = Evacuated
 	}
@@ -486,11 +486,11 @@
 }
 
 // state returns an endpoint's state according to its entry and its answers.
-func (d *Directory) state(h *record) State {
-	if _, leaving := d.leaving[h.endpoint.ID]; leaving {
+func (d *Directory) state(rec *record) State {
+	if _, leaving := d.leaving[rec.endpoint.ID]; leaving {
 		return Draining
 	}
-	return h.endpoint.State
+	return rec.endpoint.State
 }
 
 // settling reports whether entries may be missing only because the store was out of reach.
@@ -504,9 +504,9 @@
 		return nil
 	}
 	var changes []Change
-	for _, h := range d.endpoints {
-		if h.missing {
-			changes = append(changes, d.removeEndpoint(h, d.revision)...)
+	for _, rec := range d.endpoints {
+		if rec.missing {
+			changes = append(changes, d.removeEndpoint(rec, d.revision)...)
 		}
 	}
 	return changes
@@ -515,7 +515,7 @@
 // publish makes a view of the current facts available to readers.
 func (d *Directory) publish() {
 	v := d.index.view()
-	v.Table, v.TableRevision, v.Revision = d.table, d.tableRev, d.revision
+	v.Table, v.TableRevision, v.Revision = d.table, d.tableRevision, d.revision
 	v.Leaving, v.Uncertain = d.leavingByService(), d.missing > 0
 	zones, digest := d.evacuatedZones()
 	v.Evacuated, v.Digest = zones, d.digest^digest
--- a/internal/directory/evacuation.go
+++ b/internal/directory/evacuation.go
@@ -16,16 +16,16 @@
 	if known && before.Over == e.Over || !known && e.Over {
 		return nil
 	}
-	what := ZoneEvacuated
+	kind := ZoneEvacuated
 	if e.Over {
-		what = ZoneRestored
+		kind = ZoneRestored
 	}
-	for _, h := range d.endpoints {
-		if h.endpoint.Zone == e.Zone {
-			d.updateIndex(h)
+	for _, rec := range d.endpoints {
+		if rec.endpoint.Zone == e.Zone {
+			d.updateIndex(rec)
 		}
 	}
-	return []Change{{Kind: what, Zone: e.Zone, Revision: e.Revision}}
+	return []Change{{Kind: kind, Zone: e.Zone, Revision: e.Revision}}
 }
 
 // applyAllEvacuations applies the complete list of evacuations at a revision. Operators'
@@ -52,7 +52,7 @@
 	return known && !e.Over
 }
 
-// evacuatedZones returns the evacuated zones and their part of a view's digest.
+// evacuatedZones returns the evacuated zones and what they contribute to a view's digest.
 func (d *Directory) evacuatedZones() (zones map[string]bool, digest uint64) {
 	zones = map[string]bool{}
 	for zone, e := range d.zones {
--- a/internal/directory/event.go
+++ b/internal/directory/event.go
@@ -20,8 +20,8 @@
 	Revision       int64
 }
 
-// PeerUpdate holds what a peer sent in response to a request: everything if Whole, else what
-// changed and what is gone, up to Revision.
+// PeerUpdate holds what a peer sent in response to a request: everything if Complete, else
+// what changed and what is gone, up to Revision.
 type PeerUpdate struct {
 	Complete    bool
 	Endpoints   []Endpoint
--- a/internal/directory/incarnation_test.go
+++ b/internal/directory/incarnation_test.go
@@ -12,8 +12,8 @@
 )
 
 // incarnation returns an endpoint's entry as one of its incarnations wrote it.
-func incarnation(born, revision int64) directory.Endpoint {
-	return directory.Endpoint{Entry: "e1", Service: "web", Zone: "a", Slots: 8, Revision: revision}.WithStart(born)
+func incarnation(startedAt, revision int64) directory.Endpoint {
+	return directory.Endpoint{Entry: "e1", Service: "web", Zone: "a", Slots: 8, Revision: revision}.WithStart(startedAt)
 }
 
 // currentIDs returns the IDs of a service's endpoints in the view.
@@ -102,7 +102,7 @@
 }
 
 // A planner may name an endpoint that this instance does not know yet, but an outdated one
-// is refuted.
+// is superseded by what is known here.
 func TestRefutes(t *testing.T) {
 	tests := []struct {
 		name     string
--- a/internal/directory/leaving.go
+++ b/internal/directory/leaving.go
@@ -13,7 +13,7 @@
 
 // leavingMark records an incarnation that announced that it leaves.
 type leavingMark struct {
-	entry       string       // its entry; empty if that was not known then
+	entry       string       // its entry; empty if that was unknown at the first announcement
 	confirmedAt clock.Millis // when its entry was last present or it last announced leaving
 }
 
@@ -27,26 +27,26 @@
 	}
 	change := Change{Kind: EndpointSaysLeaving, Endpoint: Endpoint{ID: e.ID}, Revision: d.revision}
 	mark := leavingMark{confirmedAt: now}
-	h := d.find(e.ID)
-	if h != nil {
-		change.Endpoint, mark.entry = *h.endpoint, h.endpoint.entry()
+	rec := d.find(e.ID)
+	if rec != nil {
+		change.Endpoint, mark.entry = *rec.endpoint, rec.endpoint.entry()
 	}
 	d.leaving[e.ID] = mark
 	d.leavingIDs = nil
-	if h != nil {
-		d.updateIndex(h)
+	if rec != nil {
+		d.updateIndex(rec)
 	}
 	return []Change{change}
 }
 
-// expireLeaving drops incarnations whose entry has been gone for leavingRetention, without
-// a further announcement. It runs several times a second, so it visits only those that
-// leave and not all endpoints.
+// expireLeaving drops incarnations whose entry has been gone for leavingRetention, or was
+// unknown at their first announcement, without a further announcement in that time. It runs
+// several times a second, so it visits only those that leave and not all endpoints.
 func (d *Directory) expireLeaving(now clock.Millis) {
 	for id, l := range d.leaving {
-		h := d.endpoints[l.entry]
+		rec := d.endpoints[l.entry]
 		switch {
-		case h != nil && h.endpoint.ID == id:
+		case rec != nil && rec.endpoint.ID == id:
 			d.leaving[id] = leavingMark{entry: l.entry, confirmedAt: now}
 		case now.Sub(l.confirmedAt) > leavingRetention:
 			delete(d.leaving, id)
@@ -54,15 +54,16 @@
 	}
 }
 
-// leavingByService returns, by service, the IDs of those whose entry has another state.
+// leavingByService returns, by service, the IDs of endpoints that announced that they leave
+// while their entry has another state.
 func (d *Directory) leavingByService() map[string][]string {
 	if d.leavingIDs != nil {
 		return d.leavingIDs
 	}
 	d.leavingIDs = map[string][]string{}
 	for id := range d.leaving {
-		if h := d.find(id); h != nil && !h.denied && h.endpoint.State != Draining {
-			d.leavingIDs[h.endpoint.Service] = append(d.leavingIDs[h.endpoint.Service], id)
+		if rec := d.find(id); rec != nil && !rec.denied && rec.endpoint.State != Draining {
+			d.leavingIDs[rec.endpoint.Service] = append(d.leavingIDs[rec.endpoint.Service], id)
 		}
 	}
 	return d.leavingIDs
--- a/internal/directory/leaving_test.go
+++ b/internal/directory/leaving_test.go
@@ -66,9 +66,9 @@
 	}
 }
 
-// Planners on other instances must be notified of endpoints whose leaving only answers show.
-// A repeated announcement is reported once. A later removal of the entry applies at once,
-// even during an outage of the store.
+// Planners on other instances must be notified of endpoints whose leaving only answers
+// show. A repeated announcement is reported once. A later removal of the entry applies at
+// once, even during an outage of the store.
 func TestLeavingIsReportedOnce(t *testing.T) {
 	c := qt.New(t)
 	d := directory.New()
--- a/internal/directory/view.go
+++ b/internal/directory/view.go
@@ -25,16 +25,16 @@
 	Ready     int             // number of endpoints that take requests
 
 	byID       *btree.Map[string, *Endpoint]
-	byLocation *btree.BTreeG[*Endpoint] // by service, zone and id
+	byLocation *btree.BTreeG[*Endpoint] // by service, zone and ID
 }
 
 // NewView returns a view of the given endpoints, without a directory.
 func NewView(table *route.Table, endpoints ...*Endpoint) *View {
-	s := newViewIndex()
+	x := newViewIndex()
 	for _, e := range endpoints {
-		s.put(e)
+		x.put(e)
 	}
-	v := s.view()
+	v := x.view()
 	v.Table = table
 	return v
 }
@@ -95,16 +95,16 @@
 
 // viewIndex holds the endpoints of the next view.
 type viewIndex struct {
-	byID    *btree.Map[string, *Endpoint]
-	byPlace *btree.BTreeG[*Endpoint]
-	ready   int
+	byID       *btree.Map[string, *Endpoint]
+	byLocation *btree.BTreeG[*Endpoint]
+	ready      int
 }
 
 func newViewIndex() viewIndex {
 	return viewIndex{
 		byID: &btree.Map[string, *Endpoint]{},
 		// Only the directory writes, under its lock; views are read-only copies.
-		byPlace: btree.NewBTreeGOptions(lessByLocation, btree.Options{NoLocks: true}),
+		byLocation: btree.NewBTreeGOptions(lessByLocation, btree.Options{NoLocks: true}),
 	}
 }
 
@@ -118,27 +118,27 @@
 	return a.ID < b.ID
 }
 
-func (s *viewIndex) put(e *Endpoint) {
-	s.remove(e.ID)
-	s.byID.Set(e.ID, e)
-	s.byPlace.Set(e)
+func (x *viewIndex) put(e *Endpoint) {
+	x.remove(e.ID)
+	x.byID.Set(e.ID, e)
+	x.byLocation.Set(e)
 	if e.State == Ready {
-		s.ready++
+		x.ready++
 	}
 }
 
-func (s *viewIndex) remove(id string) {
-	before, known := s.byID.Delete(id)
+func (x *viewIndex) remove(id string) {
+	before, known := x.byID.Delete(id)
 	if !known {
 		return
 	}
-	s.byPlace.Delete(before)
+	x.byLocation.Delete(before)
 	if before.State == Ready {
-		s.ready--
+		x.ready--
 	}
 }
 
 // view returns a view of these endpoints that later changes do not affect.
-func (s *viewIndex) view() *View {
-	return &View{byID: s.byID.Copy(), byLocation: s.byPlace.Copy(), Ready: s.ready}
+func (x *viewIndex) view() *View {
+	return &View{byID: x.byID.Copy(), byLocation: x.byLocation.Copy(), Ready: x.ready}
 }
--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// checkFraction is how long the first in rank waits before it checks the store, as a
-	// fraction of the time within which a change must be in force. Of 2 s, a check, the
-	// grace period and a fetch take 1.2 s.
+	// checkFraction is how long the first in rank waits after it last received a revision
+	// before it checks the store, as a fraction of the time within which a change must be
+	// in force. Of 2 s, a check, the grace period and a fetch take 1.2 s.
 	checkFraction = 0.35
 	// rankDelay is how much later each next in rank checks the store, and maxRankDelay how
 	// much later the last of a zone does.
@@ -82,8 +82,8 @@
 }
 
 // fullViewPause returns the minimum time between two complete views.
-func (k LocalState) fullViewPause() time.Duration {
-	return time.Duration(max(k.Endpoints, baseViewSize)) * fullViewInterval / baseViewSize
+func (s LocalState) fullViewPause() time.Duration {
+	return time.Duration(max(s.Endpoints, baseViewSize)) * fullViewInterval / baseViewSize
 }
 
 // Observe records a revision that the store has, received from the peer called source with
@@ -109,23 +109,23 @@
 func (f *Freshness) Behind() bool { return f.behindSince != 0 }
 
 // Next returns what must be done now.
-func (f *Freshness) Next(now clock.Millis, k LocalState) Action {
-	differs := !k.Watching && f.source != "" && k.Revision == f.newest && f.digest != k.Digest
-	if k.Revision >= f.newest && !differs {
+func (f *Freshness) Next(now clock.Millis, s LocalState) Action {
+	differs := !s.Watching && f.source != "" && s.Revision == f.newest && f.digest != s.Digest
+	if s.Revision >= f.newest && !differs {
 		f.behindSince, f.unanswered = 0, 0
-		return f.check(now, k)
+		return f.check(now, s)
 	}
 	if f.behindSince == 0 {
 		f.behindSince = now
 	}
-	if k.Watching && now.Sub(f.behindSince) < watchGracePeriod || now.Sub(f.fetchedAt) < retryInterval {
+	if s.Watching && now.Sub(f.behindSince) < watchGracePeriod || now.Sub(f.fetchedAt) < retryInterval {
 		return Nothing
 	}
 	f.fetchedAt = now
-	if k.Revision > f.requestRevision {
+	if s.Revision > f.requestRevision {
 		f.unanswered = 0 // peers answer; while changes go on, there is always more to request
 	}
-	f.requestRevision = k.Revision
+	f.requestRevision = s.Revision
 	if f.source == "" || f.unanswered >= int(peerFraction*float64(f.bound)/float64(retryInterval)) {
 		f.unanswered = 0
 		return ListStore
@@ -137,19 +137,19 @@
 // NeedsFullView reports whether to request everything from a peer after its changes up to
 // revision were applied: the views must be the same then. They differ if another peer did
 // not pass on a change because it was still in doubt about it.
-func (f *Freshness) NeedsFullView(now clock.Millis, k LocalState, revision int64, digest uint64) bool {
-	if k.Revision != revision || k.Digest == digest || now.Sub(f.fullViewAt) < k.fullViewPause() {
+func (f *Freshness) NeedsFullView(now clock.Millis, s LocalState, revision int64, digest uint64) bool {
+	if s.Revision != revision || s.Digest == digest || now.Sub(f.fullViewAt) < s.fullViewPause() {
 		return false
 	}
 	f.fullViewAt = now
 	return true
 }
 
-func (f *Freshness) check(now clock.Millis, k LocalState) Action {
+func (f *Freshness) check(now clock.Millis, s LocalState) Action {
 	if f.observedAt == 0 {
 		f.observedAt = now // it has just read everything
 	}
-	if now.Sub(f.observedAt) < time.Duration(checkFraction*float64(f.bound))+k.checkDelay() {
+	if now.Sub(f.observedAt) < time.Duration(checkFraction*float64(f.bound))+s.checkDelay() {
 		return Nothing
 	}
 	f.observedAt = now // the result, or its absence, comes before the next check
@@ -160,10 +160,10 @@
 // zone the delays of later ranks lie ever closer together, so that the last need not wait
 // long, and yet not all instances check at the same time: the number that have checked
 // grows exponentially with the delay.
-func (k LocalState) checkDelay() time.Duration {
-	if k.Rank == 0 {
+func (s LocalState) checkDelay() time.Duration {
+	if s.Rank == 0 {
 		return 0
 	}
-	fraction := math.Log(float64(1+k.Rank)) / math.Log(float64(1+max(k.Rank, k.ZoneSize)))
-	return min(time.Duration(k.Rank)*rankDelay, time.Duration(fraction*float64(maxRankDelay)))
+	fraction := math.Log(float64(1+s.Rank)) / math.Log(float64(1+max(s.Rank, s.ZoneSize)))
+	return min(time.Duration(s.Rank)*rankDelay, time.Duration(fraction*float64(maxRankDelay)))
 }
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -58,7 +58,7 @@
 	c.Assert(f.Next(1750, watching(31, 0)), qt.Equals, freshness.CheckStore)
 }
 
-// Only the first in rank checks the store while it can be received.
+// Only the first in rank checks the store while the others receive what it announces.
 func TestOneInstanceChecksForZone(t *testing.T) {
 	c := qt.New(t)
 	first, second := freshness.New(bound), freshness.New(bound)
@@ -194,11 +194,11 @@
 		t.Run(fmt.Sprint(test.endpoints), func(t *testing.T) {
 			c := qt.New(t)
 			f := freshness.New(bound)
-			k := freshness.LocalState{Revision: 30, Digest: 7, Endpoints: test.endpoints}
+			local := freshness.LocalState{Revision: 30, Digest: 7, Endpoints: test.endpoints}
 			const start = clock.Millis(100_000)
-			c.Assert(f.NeedsFullView(start, k, 30, 8), qt.IsTrue)
-			c.Assert(f.NeedsFullView(start.Add(test.pause)-1, k, 30, 8), qt.IsFalse)
-			c.Assert(f.NeedsFullView(start.Add(test.pause), k, 30, 8), qt.IsTrue)
+			c.Assert(f.NeedsFullView(start, local, 30, 8), qt.IsTrue)
+			c.Assert(f.NeedsFullView(start.Add(test.pause)-1, local, 30, 8), qt.IsFalse)
+			c.Assert(f.NeedsFullView(start.Add(test.pause), local, 30, 8), qt.IsTrue)
 		})
 	}
 }
--- a/internal/roster/member.go
+++ b/internal/roster/member.go
@@ -15,7 +15,7 @@
 // Registry writes the entries of instances to the store.
 type Registry struct {
 	// Grant opens a lease.
-	Grant func(ctx context.Context, x time.Duration) (int64, error)
+	Grant func(ctx context.Context, ttl time.Duration) (int64, error)
 	// Renew extends a lease; ErrLapsed says that it has expired.
 	Renew func(ctx context.Context, lease int64) error
 	// Put writes an instance's entry, which is removed with the lease.
@@ -93,8 +93,8 @@
 // maySkipRenewal reports whether a renewal may wait for the next interval.
 func (m *Member) maySkipRenewal() bool { return m.entryWritten && !m.callFailed && !m.Watching() }
 
-// renew renews the lease, or registers again if the lease has expired or the store lacks the
-// current entry.
+// renew renews the lease, or registers again if the lease has expired or the store lacks
+// the current entry.
 func (m *Member) renew(ctx context.Context) {
 	if m.lease == 0 || !m.entryWritten {
 		m.register(ctx)
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -23,7 +23,7 @@
 	Capacity    float64        `cbor:"5,keyasint,omitempty" json:"capacity,omitempty"` // of its processor, in cores
 	Leaving     bool           `cbor:"6,keyasint,omitempty" json:"leaving,omitempty"`
 	Revision    int64          `cbor:"8,keyasint" json:"-"` // of the store
-	Joining     bool           `cbor:"-" json:"-"`          // first seen less than JoinTime ago: it takes no role yet
+	Joining     bool           `cbor:"-" json:"-"`          // first seen less than JoinDelay ago: it takes no role yet
 }
 
 // Removal says that an instance's entry was removed at a revision. The entry may exist
@@ -96,16 +96,16 @@
 
 // Remove applies the removal of an instance's entry and reports whether it changed
 // anything. The certificate stays trusted: the instance may only have lost its lease.
-func (r *Roster) Remove(d Removal) bool {
+func (r *Roster) Remove(removal Removal) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	i, ok := r.instances[d.Name]
-	if !ok || i.Revision > d.Revision {
+	i, ok := r.instances[removal.Name]
+	if !ok || i.Revision > removal.Revision {
 		return false
 	}
-	delete(r.instances, d.Name)
+	delete(r.instances, removal.Name)
 	r.cached = nil
-	r.removedAt[d.Name] = d.Revision
+	r.removedAt[removal.Name] = removal.Revision
 	return true
 }
 
@@ -184,8 +184,8 @@
 	return r.orderings().zones
 }
 
-// FirstOfOtherZones returns the first n instances, in the order for a role, of each zone but
-// the given one.
+// FirstOfOtherZones returns the first n instances, in the order for a role, of each zone
+// but the given one.
 func (r *Roster) FirstOfOtherZones(zone, key string, n int) []Instance {
 	var list []Instance
 	for _, z := range r.Zones() {
@@ -205,11 +205,11 @@
 }
 
 // Rank returns the rank, from 0, of the instance called name in a zone's order for a role.
-func (r *Roster) Rank(zone, key, name string) (place int, known bool) {
+func (r *Roster) Rank(zone, key, name string) (rank int, known bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	place, known = r.orderings().ranking(zone, key).ranks[name]
-	return place, known
+	rank, known = r.orderings().ranking(zone, key).ranks[name]
+	return rank, known
 }
 
 // Ranked returns a zone's instances in the order in which they take the role called key:
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -73,7 +73,7 @@
 }
 
 // In a fleet of unequal machines the first planner by weight alone had a fifth of a core,
-// and did not answer for 18 to 22 s at peak load.
+// and did not answer at peak load.
 func TestRankedByCapacity(t *testing.T) {
 	c := qt.New(t)
 	r := roster.New(zeroTime)
--- a/internal/suspension/suspension.go
+++ b/internal/suspension/suspension.go
@@ -23,14 +23,14 @@
 )
 
 // Watch calls do after each suspension, with its length, until ctx ends.
-func Watch(ctx context.Context, c *clock.Clock, do func(slept time.Duration)) {
+func Watch(ctx context.Context, c *clock.Clock, do func(suspended time.Duration)) {
 	seen := c.Suspended()
 	ticker.Every(ctx, pollInterval, func() {
-		c.Now() // updates Slept
-		slept := c.Suspended()
-		if slept-seen >= minSuspension {
-			do(slept - seen)
-			seen = slept
+		c.Now() // updates the time that Suspended returns
+		total := c.Suspended()
+		if total-seen >= minSuspension {
+			do(total - seen)
+			seen = total
 		}
 	})
 }
