--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -65,15 +65,15 @@
 			MaxEntries: maxEntries,
 			List: func(ctx context.Context, _ func(int)) (feed.Update, error) {
 				s.lists.Add(1)
-				n, err := s.read(ctx)
-				n.Revision, n.AllInstances = s.version.Load(), true
-				return n, err
+				u, err := s.read(ctx)
+				u.Revision, u.AllInstances = s.version.Load(), true
+				return u, err
 			},
 			ListStale: func(ctx context.Context, _ func(feed.Update)) (feed.Update, error) {
 				s.staleLists.Add(1)
-				n, err := s.read(ctx)
-				n.Revision, n.AllInstances = s.version.Load(), true
-				return n, err
+				u, err := s.read(ctx)
+				u.Revision, u.AllInstances = s.version.Load(), true
+				return u, err
 			},
 			Configuration: func(ctx context.Context) (feed.Update, error) {
 				s.tables.Add(1)
@@ -99,7 +99,7 @@
 	return f, d
 }
 
-// runFeed runs a feed for a time and calls each every 250 ms.
+// runFeed runs a feed for a time and calls each at intervals of 250 ms.
 func runFeed(t *testing.T, f *feed.Feed, length time.Duration, each func()) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), length)
@@ -344,9 +344,9 @@
 			f.Seed = func(context.Context) bool { seeds++; return seeded }
 			begin := f.Source.ListStale
 			f.Source.ListStale = func(ctx context.Context, early func(feed.Update)) (feed.Update, error) {
-				n, err := begin(ctx, early)
-				n.Partial, n.Revision, n.AllInstances = true, 0, false
-				return n, err
+				u, err := begin(ctx, early)
+				u.Partial, u.Revision, u.AllInstances = true, 0, false
+				return u, err
 			}
 			done := make(chan struct{})
 			go func() { defer close(done); f.Run(ctx) }()
@@ -415,10 +415,10 @@
 			}
 			begin := f.Source.ListStale
 			f.Source.ListStale = func(ctx context.Context, early func(feed.Update)) (feed.Update, error) {
-				n, err := begin(ctx, early)
-				n.Partial, n.Revision, n.AllInstances = true, 0, false
+				u, err := begin(ctx, early)
+				u.Partial, u.Revision, u.AllInstances = true, 0, false
 				s.version.Store(2)
-				return n, err
+				return u, err
 			}
 			f.Source.List = func(context.Context, func(int)) (feed.Update, error) {
 				time.Sleep(long)
--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -16,7 +16,7 @@
 // Notice is what one response says.
 type Notice struct {
 	Leaving bool          // the endpoint will shut down soon
-	Backoff time.Duration // backoff: how long it wants no requests from this instance
+	Backoff time.Duration // how long it wants no requests from this instance
 	Limit   Limit
 }
 
@@ -40,7 +40,8 @@
 	return Limit{Present: true, Rate: rate}
 }
 
-// IsUnlimited reports whether a rate is so high that it equals no limit.
+// IsUnlimited reports whether a rate is so high that the instances cannot exceed it: it
+// equals no limit.
 func IsUnlimited(text string) bool {
 	rate, _ := strconv.ParseFloat(strings.TrimSpace(text), 64) // +Inf on overflow
 	return rate >= maxRate
@@ -50,8 +51,8 @@
 // more than a day is faulty, and should not be lost for good.
 const maxBackoff = 24 * time.Hour
 
-// ParseRetryAfter parses the seconds of a response's Retry-After header. A value that is not a
-// positive number of seconds requests no backoff.
+// ParseRetryAfter parses the seconds of a response's Retry-After header. A value that is
+// not a positive number of seconds requests no backoff.
 func ParseRetryAfter(h http.Header) time.Duration {
 	seconds, err := strconv.ParseFloat(h.Get("Retry-After"), 64)
 	if err != nil || !(seconds > 0) {
@@ -76,7 +77,7 @@
 
 // Record records the notice of a response. It returns true if the endpoint wanted
 // requests before and wants none now.
-func (t *Table[K]) Record(now clock.Millis, endpoint K, n Notice) (closed bool) {
+func (t *Table[K]) Record(now clock.Millis, endpoint K, n Notice) (changed bool) {
 	backoff := n.Backoff
 	if n.Leaving {
 		backoff = max(backoff, t.leavingTime)
@@ -86,9 +87,9 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	closed = now >= t.until[endpoint]
+	changed = now >= t.until[endpoint]
 	t.until[endpoint] = max(t.until[endpoint], now.Add(backoff))
-	return closed
+	return changed
 }
 
 // All returns the endpoints that currently want no requests.
--- a/internal/notice/notice_test.go
+++ b/internal/notice/notice_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// Of several notices the one that lasts longest applies, and Take returns true only
+// Of several notices the one that lasts longest applies, and Record returns true only
 // when the endpoint turns unavailable.
 func TestTable(t *testing.T) {
 	c := qt.New(t)
--- a/internal/permit/issuer.go
+++ b/internal/permit/issuer.go
@@ -108,33 +108,33 @@
 // Borrower returns the instance that holds the loan for endpoints of zone, if there is
 // one.
 func (i *Issuer) Borrower(now clock.Millis, zone string) (name string, lent bool) {
-	h, known := i.lent[zone]
-	return h.borrower, known && now < h.until
+	loan, known := i.lent[zone]
+	return loan.borrower, known && now < loan.until
 }
 
 // OwnLoan returns what an instance can lend to the first instance of its zone: its own
 // share, unless it recently was the first itself and has lent that share to another
 // zone.
 func (i *Issuer) OwnLoan(now clock.Millis) Loan {
-	for zone, h := range i.lent {
-		if zone != "" && now < h.until {
+	for zone, loan := range i.lent {
+		if zone != "" && now < loan.until {
 			return Loan{}
 		}
 	}
 	return Loan{Shares: 1}
 }
 
-// CrossZoneLoan returns what the first instance of a zone can lend for endpoints of another
-// zone.
+// CrossZoneLoan returns what the first instance of a zone can lend for endpoints of
+// another zone: its own share and those lent to it for long enough.
 func (i *Issuer) CrossZoneLoan(now clock.Millis, zone string) Loan {
 	l := Loan{Zone: zone}
 	if _, lent := i.Borrower(now, ""); lent {
 		return l
 	}
 	l.Shares = 1
-	for k, h := range i.borrowed {
-		if k.zone == "" && h.until.Sub(now) >= crossZoneLease+leaseGrace {
-			l.Shares += h.Shares
+	for k, loan := range i.borrowed {
+		if k.zone == "" && loan.until.Sub(now) >= crossZoneLease+leaseGrace {
+			l.Shares += loan.Shares
 		}
 	}
 	return l
@@ -143,25 +143,25 @@
 // shares returns how many shares of the limits of a zone's endpoints this instance may
 // use.
 func (i *Issuer) shares(now clock.Millis, zone string) int {
-	for _, h := range i.lent {
-		if h.covers(zone) && now < h.until {
+	for _, loan := range i.lent {
+		if loan.covers(zone) && now < loan.until {
 			return 0
 		}
 	}
 	shares := 1
-	for k, h := range i.borrowed {
+	for k, loan := range i.borrowed {
 		switch {
-		case now >= h.until:
+		case now >= loan.until:
 			delete(i.borrowed, k)
-		case h.covers(zone):
-			shares += h.Shares
+		case loan.covers(zone):
+			shares += loan.Shares
 		}
 	}
 	return shares
 }
 
-// BackgroundPriority is the priority of background calls, for which no caller waits. They get
-// permits that no request needs.
+// BackgroundPriority is the priority of background calls, for which no caller waits. They
+// get permits that no request needs.
 const BackgroundPriority = 1000
 
 // Request is a request for a permit.
@@ -172,22 +172,22 @@
 	Priority int     `cbor:"4,keyasint"` // 0 is the most urgent
 }
 
-// Decision is the response to an Ask.
+// Decision is the response to a Request.
 type Decision struct {
 	Granted    bool          `cbor:"1,keyasint"`
 	RetryAfter time.Duration `cbor:"2,keyasint"` // if denied: time until a permit may be available
 }
 
 // Issue issues a permit if one is available.
-func (i *Issuer) Issue(now clock.Millis, a Request) Decision {
-	p, rate := i.refill(now, a.Endpoint, a.Zone, a.Rate)
-	return p.take(now, rate, a.Priority)
+func (i *Issuer) Issue(now clock.Millis, req Request) Decision {
+	p, rate := i.refill(now, req.Endpoint, req.Zone, req.Rate)
+	return p.take(now, rate, req.Priority)
 }
 
-// WaitTime returns how long no permit is available here for the endpoint of a, or 0 if
+// WaitTime returns how long no permit is available here for the endpoint of req, or 0 if
 // there is one.
-func (i *Issuer) WaitTime(now clock.Millis, a Request) time.Duration {
-	p, rate := i.refill(now, a.Endpoint, a.Zone, a.Rate)
+func (i *Issuer) WaitTime(now clock.Millis, req Request) time.Duration {
+	p, rate := i.refill(now, req.Endpoint, req.Zone, req.Rate)
 	if p.tokens >= 1 {
 		return 0
 	}
--- a/internal/permit/pool.go
+++ b/internal/permit/pool.go
@@ -26,7 +26,7 @@
 	// noShareDelay is the retry delay when the issuer holds no share.
 	noShareDelay = 250 * time.Millisecond
 	// minRetryDelay and maxRetryDelay bound the time after which a denied request may
-	// be repeated. maxRetryDelay also applies to an endpoint whose limit is 0.
+	// be repeated. maxRetryDelay is also when an endpoint whose limit is 0 is tried again.
 	minRetryDelay = 20 * time.Millisecond
 	maxRetryDelay = 5 * time.Second
 )
--- a/internal/permit/strategies_test.go
+++ b/internal/permit/strategies_test.go
@@ -63,23 +63,23 @@
 // results are the metrics of one strategy.
 type results struct{ peak, used, messages, bytes float64 }
 
-func (f results) report(b *testing.B) {
-	b.ReportMetric(f.peak/float64(bound(benchRate)), "most/allowed")
-	b.ReportMetric(f.used, "used/limit")
-	b.ReportMetric(f.messages, "messages/instance/s")
-	b.ReportMetric(f.bytes, "bytes/instance/s")
+func (r results) report(b *testing.B) {
+	b.ReportMetric(r.peak/float64(bound(benchRate)), "most/allowed")
+	b.ReportMetric(r.used, "used/limit")
+	b.ReportMetric(r.messages, "messages/instance/s")
+	b.ReportMetric(r.bytes, "bytes/instance/s")
 }
 
 // results computes the metrics of a world that ran since from.
 func (w *world) results(from clock.Millis) results {
-	var f results
+	var r results
 	for _, l := range w.limits {
-		f.peak = max(f.peak, float64(w.maxInWindow(l.endpoint, from)))
-		f.used += float64(w.countSince(l.endpoint, from)) / (benchRate * benchLength.Seconds() * float64(len(w.limits)))
+		r.peak = max(r.peak, float64(w.maxInWindow(l.endpoint, from)))
+		r.used += float64(w.countSince(l.endpoint, from)) / (benchRate * benchLength.Seconds() * float64(len(w.limits)))
 	}
 	each := float64(len(w.instances)) * benchLength.Seconds()
-	f.messages, f.bytes = float64(w.messages)/each, float64(w.bytes)/each
-	return f
+	r.messages, r.bytes = float64(w.messages)/each, float64(w.bytes)/each
+	return r
 }
 
 // runPermits runs the strategy in use: permits.
@@ -135,8 +135,8 @@
 	}
 	var all []*quotaInstance
 	for _, i := range w.instances {
-		s := &quotaInstance{admission.New(w.now), quota.NewLedger(i.zone, rand.Uint64(), window)}
-		all = append(all, s)
+		q := &quotaInstance{admission.New(w.now), quota.NewLedger(i.zone, rand.Uint64(), window)}
+		all = append(all, q)
 	}
 	present := quota.Membership{Zones: map[string]bool{}, Total: instances}
 	for _, z := range w.zones {
--- a/internal/permit/world_test.go
+++ b/internal/permit/world_test.go
@@ -140,28 +140,28 @@
 				if w.now < i.denied[l.endpoint] {
 					continue
 				}
-				v := w.requestPermit(i, l)
-				if v.Granted {
+				d := w.requestPermit(i, l)
+				if d.Granted {
 					w.sent[l.endpoint] = append(w.sent[l.endpoint], w.now)
 					continue
 				}
-				i.denied[l.endpoint] = w.now.Add(min(v.RetryAfter, permit.MaxDenial))
+				i.denied[l.endpoint] = w.now.Add(min(d.RetryAfter, permit.MaxDenial))
 			}
 		}
 	}
 }
 
 func (w *world) requestPermit(i *instance, l limitedEndpoint) permit.Decision {
-	a := permit.Request{Endpoint: l.endpoint, Zone: l.zone, Rate: l.rate}
+	req := permit.Request{Endpoint: l.endpoint, Zone: l.zone, Rate: l.rate}
 	for _, zone := range []string{l.zone, i.zone} {
 		f := w.first(i, zone)
 		if f == nil || f == i {
 			break
 		}
-		w.countExchange(a, permit.Decision{})
+		w.countExchange(req, permit.Decision{})
 		if w.reaches(i, f) {
 			w.updateCount(f)
-			return f.issuer.Issue(w.now, a)
+			return f.issuer.Issue(w.now, req)
 		}
 		i.unresponsive[f] = w.now.Add(probeInterval)
 		if zone == i.zone {
@@ -169,7 +169,7 @@
 		}
 	}
 	w.updateCount(i)
-	return i.issuer.Issue(w.now, a)
+	return i.issuer.Issue(w.now, req)
 }
 
 // updateCount sets the number of instances in an issuer.
@@ -188,7 +188,7 @@
 		w.lend(i, f, i.issuer.OwnLoan(w.now))
 		return
 	}
-	if !w.giveBack(i, "") {
+	if !w.recall(i, "") {
 		return
 	}
 	seen := map[string]bool{i.zone: true}
@@ -219,15 +219,15 @@
 		return
 	}
 	if holder, lent := i.issuer.Borrower(w.now, l.Zone); lent && holder != to.name {
-		w.giveBack(i, l.Zone)
+		w.recall(i, l.Zone)
 		return
 	}
 	i.issuer.Lend(w.now, to.name, l)
 	w.send(i, to, l, func() {})
 }
 
-// giveBack asks for the return of a loan. It returns true if nothing is lent.
-func (w *world) giveBack(i *instance, zone string) bool {
+// recall asks for the return of a loan. It returns true if nothing is lent.
+func (w *world) recall(i *instance, zone string) bool {
 	holder, lent := i.issuer.Borrower(w.now, zone)
 	if !lent {
 		return true
@@ -237,8 +237,8 @@
 	return false
 }
 
-// send delivers a loan and its reply, after which agreed is called.
-func (w *world) send(i, to *instance, l permit.Loan, agreed func()) {
+// send delivers a loan and its reply, after which onReply is called.
+func (w *world) send(i, to *instance, l permit.Loan, onReply func()) {
 	w.countExchange(struct {
 		permit.Loan
 		Digest uint64 `cbor:"4,keyasint"` // of the known limits
@@ -249,7 +249,7 @@
 	}
 	w.post(to, func() {
 		to.issuer.Borrow(w.now, i.name, l)
-		w.post(i, agreed)
+		w.post(i, onReply)
 	})
 }
 
--- a/internal/ratelimit/table.go
+++ b/internal/ratelimit/table.go
@@ -34,7 +34,7 @@
 
 // Statement is what one response of an endpoint said about its limit.
 type Statement struct {
-	Endpoint string        `cbor:"1,keyasint"`           // the endpoint's ID, new at each restart
+	Endpoint string        `cbor:"1,keyasint"`           // the endpoint's ID, new for each incarnation
 	Zone     string        `cbor:"2,keyasint"`           // the endpoint's
 	Rate     float64       `cbor:"3,keyasint"`           // requests a second from all instances
 	Lifted   bool          `cbor:"4,keyasint,omitempty"` // the limit was lifted
@@ -86,9 +86,9 @@
 	return true
 }
 
-// ObserveNoLimit records that an endpoint answered a request successfully without naming a
-// limit. A request sent before the limit was observed does not lift it. ObserveNoLimit reports
-// whether the limit was lifted.
+// ObserveNoLimit records that an endpoint answered a request successfully without naming
+// a limit. A request sent before the limit was observed does not lift it.
+// ObserveNoLimit reports whether the limit was lifted.
 func (t *Table) ObserveNoLimit(now clock.Millis, endpoint string, sent clock.Millis) (changed bool) {
 	o, known := t.limits[endpoint]
 	if !known || o.Lifted || sent <= o.observedAt {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -303,8 +303,8 @@
 
 // rank returns this instance's rank in its zone, or 0 while the roster does not have it.
 func (r *Relay) rank() int {
-	rank, _ := r.Roster.Rank(r.Zone, roleWatch, r.Name)
-	return rank
+	n, _ := r.Roster.Rank(r.Zone, roleWatch, r.Name)
+	return n
 }
 
 // checkStore reads the store's revision and announces it to the zone.
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -34,8 +34,8 @@
 }
 
 // JoinDelay is how long after it was first seen an instance takes no role: by then the
-// instances that hold places have reported them to it. Each peer measures the time for
-// itself, since a second entry would wake all watchers.
+// instances that hold allocations on engines have announced them to it. Each peer measures
+// the time for itself, since a second entry would wake all watchers.
 const JoinDelay = 1200 * time.Millisecond
 
 // readiness orders instances by whether they should take a role.
--- a/internal/suspension/suspension.go
+++ b/internal/suspension/suspension.go
@@ -27,10 +27,10 @@
 	seen := c.Suspended()
 	ticker.Every(ctx, pollInterval, func() {
 		c.Now() // updates the time that Suspended returns
-		total := c.Suspended()
-		if total-seen >= minSuspension {
-			do(total - seen)
-			seen = total
+		suspended := c.Suspended()
+		if suspended-seen >= minSuspension {
+			do(suspended - seen)
+			seen = suspended
 		}
 	})
 }
--- a/internal/throttle/loans.go
+++ b/internal/throttle/loans.go
@@ -158,14 +158,14 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, loanTimeout)
 		defer cancel()
-		v, err := peer.Call[loan, limitsMessage](ctx, t.Transport, to.Address, topicLoan, m)
+		reply, err := peer.Call[loan, limitsMessage](ctx, t.Transport, to.Address, topicLoan, m)
 		t.mu.Lock()
 		delete(t.pendingLoans, to.Name)
 		if err == nil {
 			onReply()
 			t.synced = true
 			delete(t.unresponsive, to.Fingerprint)
-			if v.Differs {
+			if reply.Differs {
 				delete(t.nextFullSync, to.Name)
 			}
 		}
@@ -175,7 +175,7 @@
 			t.markUnresponsive(to)
 			return
 		}
-		t.merge(v.Known, false)
+		t.merge(reply.Known, false)
 	}()
 }
 
@@ -196,9 +196,9 @@
 			delete(t.nextFullSync, name)
 		}
 	}
-	for f, at := range t.announcedAt {
+	for a, at := range t.announcedAt {
 		if now.Sub(at) >= minAnnounceInterval {
-			delete(t.announcedAt, f)
+			delete(t.announcedAt, a)
 		}
 	}
 	for endpoint, s := range t.returned {
--- a/internal/throttle/peers.go
+++ b/internal/throttle/peers.go
@@ -39,8 +39,8 @@
 	return list
 }
 
-func (t *Throttle) sendLimits(to []netip.AddrPort, v limitsMessage) {
-	unsent := peer.SendAll(t.Transport, to, topicLimits, v)
+func (t *Throttle) sendLimits(to []netip.AddrPort, m limitsMessage) {
+	unsent := peer.SendAll(t.Transport, to, topicLimits, m)
 	t.Scope.Counter("throttle_send_failed").Inc(int64(unsent))
 }
 
--- a/internal/throttle/permits.go
+++ b/internal/throttle/permits.go
@@ -30,11 +30,11 @@
 	if left > 0 {
 		return left
 	}
-	v := t.requestPermit(ctx, permit.Request{Endpoint: endpoint, Zone: zone, Rate: rate, Priority: priority})
-	if !v.Granted {
+	d := t.requestPermit(ctx, permit.Request{Endpoint: endpoint, Zone: zone, Rate: rate, Priority: priority})
+	if !d.Granted {
 		t.Scope.Counter("permits_denied").Inc(1)
-		t.deny(endpoint, priority, v.RetryAfter)
-		return v.RetryAfter
+		t.deny(endpoint, priority, d.RetryAfter)
+		return d.RetryAfter
 	}
 	t.Scope.Counter("permits").Inc(1)
 	return 0
@@ -76,9 +76,9 @@
 	return list
 }
 
-// Exhausted returns the endpoints of this instance's zone for which it has no permit left,
-// and the shortest time until it has one again. Where this instance is the issuer, that
-// holds for all instances.
+// Exhausted returns the endpoints of this instance's zone for which it has no permit
+// left, and the shortest time until it has one again. Where this instance is the
+// issuer, that holds for all instances.
 func (t *Throttle) Exhausted() (endpoints []string, next time.Duration) {
 	if !t.active.Load() {
 		return nil, 0
@@ -104,8 +104,8 @@
 
 // requestPermit requests a permit from the first instance of the endpoint's zone, then
 // from the first of this zone, and finally from this instance's own shares.
-func (t *Throttle) requestPermit(ctx context.Context, a permit.Request) permit.Decision {
-	for _, zone := range []string{t.issuerZone(a.Zone), t.Zone} {
+func (t *Throttle) requestPermit(ctx context.Context, req permit.Request) permit.Decision {
+	for _, zone := range []string{t.issuerZone(req.Zone), t.Zone} {
 		i, known := t.firstResponsive(zone)
 		if !known {
 			continue
@@ -113,9 +113,9 @@
 		if i.Name == t.Name {
 			break
 		}
-		v, err := t.requestFrom(ctx, i, a)
+		d, err := t.requestFrom(ctx, i, req)
 		if err == nil {
-			return v
+			return d
 		}
 		if ctx.Err() != nil { // the request was cancelled, which says nothing about the issuer
 			return permit.Decision{RetryAfter: permitTimeout}
@@ -123,13 +123,13 @@
 		t.Scope.Counter("permits_unanswered").Inc(1)
 		t.markUnresponsive(i)
 	}
-	return t.issue(a)
+	return t.issue(req)
 }
 
-func (t *Throttle) requestFrom(ctx context.Context, i roster.Instance, a permit.Request) (permit.Decision, error) {
+func (t *Throttle) requestFrom(ctx context.Context, i roster.Instance, req permit.Request) (permit.Decision, error) {
 	ctx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
-	return peer.Call[permit.Request, permit.Decision](ctx, t.Transport, i.Address, topicPermit, a)
+	return peer.Call[permit.Request, permit.Decision](ctx, t.Transport, i.Address, topicPermit, req)
 }
 
 // issuerZone returns the zone whose first instance issues permits for a zone's
@@ -144,15 +144,15 @@
 
 // issue decides on a permit from this instance's own and borrowed shares. A limit known
 // here takes precedence over the rate in the request.
-func (t *Throttle) issue(a permit.Request) permit.Decision {
+func (t *Throttle) issue(req permit.Request) permit.Decision {
 	now := t.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.updateCount(now)
-	if rate, _, limited := t.table.Limit(a.Endpoint); limited {
-		a.Rate = rate
+	if rate, _, limited := t.table.Limit(req.Endpoint); limited {
+		req.Rate = rate
 	}
-	return t.issuer.Issue(now, a)
+	return t.issuer.Issue(now, req)
 }
 
 // firstResponsive returns the first instance of a zone that is not marked unresponsive.
--- a/internal/throttle/throttle.go
+++ b/internal/throttle/throttle.go
@@ -50,8 +50,8 @@
 	// unresponsive instance, which doubles with each failure.
 	initialProbeDelay = tickInterval
 	maxProbeDelay     = 2 * time.Second
-	// unresponsiveRetention is how long an unresponsive instance is remembered after
-	// its next probe was due, when it is no longer probed.
+	// unresponsiveRetention is how long an unresponsive instance that is no longer
+	// probed is remembered after its next probe was due.
 	unresponsiveRetention = time.Minute
 	// returnedLifetime is how long a returned permit may be used by another request of
 	// this instance.
@@ -112,8 +112,8 @@
 	until clock.Millis
 }
 
-// probeState belongs to an unresponsive instance. It gets no permit requests and no
-// loans until it has answered a probe.
+// probeState says when an unresponsive instance is probed. The instance gets no permit
+// requests and no loans until it has answered a probe.
 type probeState struct {
 	nextProbe clock.Millis
 	delay     time.Duration // to the probe after that
@@ -152,8 +152,8 @@
 
 // Register adds the handlers for messages from other instances.
 func (t *Throttle) Register(r *message.Router) {
-	peer.HandleCall(r, t.Transport, topicPermit, func(_ context.Context, _ peer.Sender, a permit.Request) permit.Decision {
-		return t.issue(a)
+	peer.HandleCall(r, t.Transport, topicPermit, func(_ context.Context, _ peer.Sender, req permit.Request) permit.Decision {
+		return t.issue(req)
 	})
 	peer.HandleCall(r, t.Transport, topicLoan, func(_ context.Context, from peer.Sender, l loan) limitsMessage {
 		t.merge(l.Known, true)
@@ -167,7 +167,7 @@
 		}
 		return limitsMessage{Known: t.table.All(now), Differs: differs}
 	})
-	peer.Handle(r, t.Transport, topicLimits, func(_ peer.Sender, v limitsMessage) { t.merge(v.Known, v.Forward) })
+	peer.Handle(r, t.Transport, topicLimits, func(_ peer.Sender, m limitsMessage) { t.merge(m.Known, m.Forward) })
 }
 
 // Run renews loans and removes expired state until ctx ends.
@@ -214,16 +214,16 @@
 
 // mayAnnounce reports whether an announcement may be sent again, and if so records that
 // it is. The caller holds the lock.
-func (t *Throttle) mayAnnounce(now clock.Millis, f announcement) bool {
-	if at, announced := t.announcedAt[f]; announced && now.Sub(at) < minAnnounceInterval {
+func (t *Throttle) mayAnnounce(now clock.Millis, a announcement) bool {
+	if at, announced := t.announcedAt[a]; announced && now.Sub(at) < minAnnounceInterval {
 		return false
 	}
-	t.announcedAt[f] = now
+	t.announcedAt[a] = now
 	return true
 }
 
-// ObserveNoLimit records that an endpoint answered a request successfully without naming a
-// limit. The request was sent at the time sent.
+// ObserveNoLimit records that an endpoint answered a request successfully without naming
+// a limit. The request was sent at the time sent.
 func (t *Throttle) ObserveNoLimit(endpoint string, sent clock.Millis) {
 	if !t.active.Load() {
 		return
--- a/internal/throttle/throttle_test.go
+++ b/internal/throttle/throttle_test.go
@@ -238,8 +238,8 @@
 	n.Return("e1")
 	n.now.Add(returnedLifetime.Milliseconds())
 	c.Assert(n.Take(t.Context(), "e1", 2) > 0, qt.IsTrue)
-	spent, next := n.Exhausted()
-	c.Assert(spent, qt.DeepEquals, []string{"e1"})
+	exhausted, next := n.Exhausted()
+	c.Assert(exhausted, qt.DeepEquals, []string{"e1"})
 	c.Assert(next > 0, qt.IsTrue)
 	n.ObserveLimit("e1", 100)
 	c.Assert(n.Denied(2), qt.HasLen, 0) // the denial was under the previous limit
@@ -256,8 +256,8 @@
 	c.Assert(lent, qt.IsFalse)
 	c.Assert(issuer.Take(t.Context(), "e1", 0), qt.Equals, time.Duration(0))
 	c.Assert(issuer.Denied(0), qt.HasLen, 0)
-	spent, _ := issuer.Exhausted()
-	c.Assert(spent, qt.HasLen, 0)
+	exhausted, _ := issuer.Exhausted()
+	c.Assert(exhausted, qt.HasLen, 0)
 }
 
 // When the first instance of the zone does not respond, another one uses its own share
