--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -360,8 +360,8 @@
 	return []Change{{Kind: EndpointChanged, Endpoint: p, Revision: p.Revision}}
 }
 
-// applyRemoval applies the removal of an entry. While the store is lost or settling, a ready
-// endpoint is only marked as missing.
+// applyRemoval applies the removal of an entry. While the store is lost or settling, a
+// ready endpoint is only marked as missing.
 func (d *Directory) applyRemoval(now clock.Millis, e Removed) []Change {
 	rec := d.endpoints[e.Entry]
 	if rec == nil {
