--- a/internal/deadline/deadline.go
+++ b/internal/deadline/deadline.go
@@ -1,6 +1,6 @@
 // Package deadline provides context deadlines on a clock that advances while the
-// machine is suspended. Timers do not: they would fire late by the time suspended, and
-// callers would be kept waiting for that much longer.
+// machine is suspended. The clock of time.Timer stops then: timers would fire late by
+// the time suspended, and callers would be kept waiting for that much longer.
 package deadline
 
 import (
--- a/internal/metering/metering.go
+++ b/internal/metering/metering.go
@@ -126,8 +126,8 @@
 // Register adds the handlers for messages from other instances.
 func (m *Meter) Register(r *message.Router) {
 	peer.Handle(r, m.Transport, topicReport, func(from peer.Sender, v quota.Report) {
-		if w, first := m.addReport(from, v); first {
-			m.send(from.Address, topicStatus, w)
+		if status, first := m.addReport(from, v); first {
+			m.send(from.Address, topicStatus, status)
 		}
 	})
 	peer.Handle(r, m.Transport, topicSums, func(_ peer.Sender, v quota.Sums) {
@@ -146,7 +146,7 @@
 // addReport adds an instance's report. For the first report of an instance it returns
 // the statuses to send at once: the instance has just started, and admits all requests
 // until it receives them.
-func (m *Meter) addReport(from peer.Sender, r quota.Report) (w statusMessage, first bool) {
+func (m *Meter) addReport(from peer.Sender, r quota.Report) (status statusMessage, first bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.Now()
@@ -254,25 +254,25 @@
 	m.hasLedger = true
 	m.logChanges()
 	active := rank == 0 || now.Sub(m.statusReceivedAt) > standbyTimeout
-	w, statusDue := m.nextStatus(now)
+	status, statusDue := m.nextStatus(now)
 	sumsDue := active && (m.ledger.NearLimit() || now.Sub(m.sumsSentAt) >= sumsInterval)
-	var s quota.Sums
+	var sums quota.Sums
 	if sumsDue {
 		m.sumsSentAt = now
-		s = m.ledger.Sums(now)
+		sums = m.ledger.Sums(now)
 	}
 	var recipients []netip.AddrPort
 	if active && statusDue {
-		m.applyStatus(w)
+		m.applyStatus(status)
 		recipients = m.statusRecipients(now)
 	}
 	m.mu.Unlock()
 	for _, to := range recipients {
-		m.send(to, topicStatus, w)
+		m.send(to, topicStatus, status)
 	}
 	if sumsDue {
 		for _, i := range m.Roster.FirstOfOtherZones(m.Zone, roleLedger, ledgersPerZone) {
-			m.send(i.Address, topicSums, s)
+			m.send(i.Address, topicSums, sums)
 		}
 	}
 }
@@ -291,7 +291,7 @@
 }
 
 // nextStatus returns the statuses to send now, if they are due.
-func (m *Meter) nextStatus(now clock.Millis) (w statusMessage, due bool) {
+func (m *Meter) nextStatus(now clock.Millis) (status statusMessage, due bool) {
 	near := m.ledger.NearLimit()
 	if !near && now.Sub(m.statusSentAt) < fullReportInterval {
 		return statusMessage{}, false
@@ -312,7 +312,7 @@
 }
 
 // applyStatus passes statuses to the gate.
-func (m *Meter) applyStatus(w statusMessage) { m.gate.Update(m.Now(), w.Statuses) }
+func (m *Meter) applyStatus(status statusMessage) { m.gate.Update(m.Now(), status.Statuses) }
 
 // logChanges logs when a workspace starts or stops being held back.
 func (m *Meter) logChanges() {
--- a/internal/metering/metering_test.go
+++ b/internal/metering/metering_test.go
@@ -95,8 +95,8 @@
 		defer other.mu.Unlock()
 		return other.statusReceivedAt != 0
 	})
-	v := other.Admit(&workspace, 50_000) // five times what a window allows
-	c.Assert(v.Admitted, qt.IsTrue)
+	decision := other.Admit(&workspace, 50_000) // five times what a window allows
+	c.Assert(decision.Admitted, qt.IsTrue)
 	other.now.Add(500)
 	other.tick()
 	eventually(t, "the workspace is held back", func() bool {
--- a/internal/quota/cost_test.go
+++ b/internal/quota/cost_test.go
@@ -17,16 +17,16 @@
 		b.Run(fmt.Sprint(s.instances), func(b *testing.B) {
 			for b.Loop() {
 				limits := map[string]quota.Limit{}
-				asked := 5 * requestUnits * float64(s.instances) / float64(s.workspaces)
+				requested := 5 * requestUnits * float64(s.instances) / float64(s.workspaces)
 				for n := range s.workspaces {
-					limits[fmt.Sprint("workspace", n)] = quota.Limit{Rate: asked / usualRatio, Burst: asked / usualRatio}
+					limits[fmt.Sprint("workspace", n)] = quota.Limit{Rate: requested / usualRatio, Burst: requested / usualRatio}
 				}
 				w := newWorld(1, s.instances, s.zones, limits)
 				demand := func(workspace string, _ *instance) float64 {
 					if workspace == "workspace0" {
-						return 6 * asked / float64(s.instances)
+						return 6 * requested / float64(s.instances)
 					}
-					return asked / float64(s.instances)
+					return requested / float64(s.instances)
 				}
 				w.run(window, demand) // until the ledgers know what ran before
 				w.countBytes, w.messages = true, 0
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -282,8 +282,8 @@
 	return false
 }
 
-// Throttled returns the workspaces that are not admitted in full, with what they used in a
-// window.
+// Throttled returns the workspaces that are not admitted in full, with what they used
+// in a window.
 func (l *Ledger) Throttled() map[string]float64 {
 	used := map[string]float64{}
 	for name, w := range l.workspaces {
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -42,9 +42,9 @@
 			c := qt.New(t)
 			w := newWorld(1, test.instances, test.zones, map[string]quota.Limit{"hot": largeLimit})
 			w.run(2*time.Second, evenDemand(w, usualRatio*largeLimit.Rate)) // until all instances have received a status
-			asked, admitted := w.requested["hot"], w.admitted["hot"]
+			requested, admitted := w.requested["hot"], w.admitted["hot"]
 			w.run(8*time.Second, evenDemand(w, usualRatio*largeLimit.Rate))
-			c.Assert(w.admitted["hot"]-admitted, qt.Equals, w.requested["hot"]-asked)
+			c.Assert(w.admitted["hot"]-admitted, qt.Equals, w.requested["hot"]-requested)
 			before := w.admitted["hot"]
 			const hot = 20 * time.Second
 			w.run(hot, evenDemand(w, 7.5*usualRatio*largeLimit.Rate))
@@ -84,11 +84,11 @@
 			c := qt.New(t)
 			w := newWorld(2, 78, 3, map[string]quota.Limit{"one": largeLimit, "other": largeLimit})
 			w.run(10*time.Second, evenDemand(w, usualRatio*largeLimit.Rate)) // until the ledgers know what ran before
-			asked, admitted := w.requested["one"], w.admitted["one"]
+			requested, admitted := w.requested["one"], w.admitted["one"]
 			w.run(30*time.Second, func(workspace string, _ *instance) float64 {
 				return test.demand(w, workspace) * largeLimit.Rate / float64(len(w.instances))
 			})
-			fraction := (w.admitted["one"] - admitted) / (w.requested["one"] - asked)
+			fraction := (w.admitted["one"] - admitted) / (w.requested["one"] - requested)
 			c.Assert(fraction >= test.minAdmitted, qt.IsTrue, qt.Commentf("admitted fraction %.3f", fraction))
 		})
 	}
@@ -112,9 +112,9 @@
 			w := newWorld(3, 78, 3, map[string]quota.Limit{"one": largeLimit})
 			w.run(10*time.Second, evenDemand(w, usualRatio*largeLimit.Rate))
 			w.partitioned = test.partitioned
-			asked, admitted := w.requested["one"], w.admitted["one"]
+			requested, admitted := w.requested["one"], w.admitted["one"]
 			w.run(6*time.Second, evenDemand(w, usualRatio*largeLimit.Rate))
-			fraction := (w.admitted["one"] - admitted) / (w.requested["one"] - asked)
+			fraction := (w.admitted["one"] - admitted) / (w.requested["one"] - requested)
 			c.Check(fraction >= test.minAdmitted, qt.IsTrue, qt.Commentf("admitted fraction %.3f", fraction))
 			w.run(14*time.Second, evenDemand(w, 4*usualRatio*largeLimit.Rate))
 			c.Check(w.maxInWindow("one") <= bound(largeLimit), qt.IsTrue, qt.Commentf("used %.0f, allowed %.0f", w.maxInWindow("one"), bound(largeLimit)))
@@ -133,11 +133,11 @@
 		for _, i := range w.instances {
 			w.kill(i, 1200*time.Millisecond)
 		}
-		asked, admitted := w.requested["one"], w.admitted["one"]
+		requested, admitted := w.requested["one"], w.admitted["one"]
 		w.run(10*time.Second, evenDemand(w, loadRatio*usualRatio*largeLimit.Rate))
 		c.Check(w.maxInWindow("one") <= bound(largeLimit), qt.IsTrue, qt.Commentf("used %.0f, allowed %.0f", w.maxInWindow("one"), bound(largeLimit)))
 		if loadRatio == 1 {
-			c.Check(w.admitted["one"]-admitted, qt.Equals, w.requested["one"]-asked)
+			c.Check(w.admitted["one"]-admitted, qt.Equals, w.requested["one"]-requested)
 		}
 	}
 }
@@ -155,9 +155,9 @@
 	c.Assert(w.maxInWindow("one") <= bound(low), qt.IsTrue)
 	w.limits["one"] = largeLimit
 	w.run(2*time.Second, evenDemand(w, 0.9*largeLimit.Rate))
-	asked, admitted := w.requested["one"], w.admitted["one"]
+	requested, admitted := w.requested["one"], w.admitted["one"]
 	w.run(5*time.Second, evenDemand(w, 0.9*largeLimit.Rate))
-	c.Assert((w.admitted["one"]-admitted)/(w.requested["one"]-asked) > 0.97, qt.IsTrue)
+	c.Assert((w.admitted["one"]-admitted)/(w.requested["one"]-requested) > 0.97, qt.IsTrue)
 }
 
 // Whatever is partitioned or dies, and whichever workspace exceeds its limit, no
--- a/internal/quota/strategies_test.go
+++ b/internal/quota/strategies_test.go
@@ -116,19 +116,19 @@
 // reportPerRequest runs a strategy that decides on each request individually.
 func reportPerRequest(b *testing.B, admit func(clock.Millis, int) (bool, int), instances int, loadRatio float64) {
 	w := newWorld(1, 1, 1, nil) // only for its random numbers
-	asked, admitted, messages := 0.0, 0.0, 0
+	requested, admitted, messages := 0.0, 0.0, 0
 	for now := start; now < start.Add(length); now = now.Add(10 * time.Millisecond) {
 		for range w.poisson(loadRatio * largeLimit.Rate / requestUnits * 0.01) {
 			ok, n := admit(now, w.random.IntN(instances))
-			asked++
+			requested++
 			messages += n
 			if ok {
 				admitted++
 			}
 		}
 	}
-	b.ReportMetric(admitted/asked, "admitted/asked")
-	b.ReportMetric(float64(messages)/asked, "messages/request")
+	b.ReportMetric(admitted/requested, "admitted/asked")
+	b.ReportMetric(float64(messages)/requested, "messages/request")
 }
 
 // reportSums runs the strategy in use, in the simulation of this package's tests.
@@ -138,10 +138,10 @@
 	if cut {
 		w.partitioned = func(x, y *instance) bool { return x != y && (x.index%3 == 2 || y.index%3 == 2) }
 	}
-	asked, admitted := w.requested["w"], w.admitted["w"]
+	requested, admitted := w.requested["w"], w.admitted["w"]
 	w.messages = 0
 	w.run(length, evenDemand(w, loadRatio*largeLimit.Rate))
-	requests := (w.requested["w"] - asked) / requestUnits
+	requests := (w.requested["w"] - requested) / requestUnits
 	b.ReportMetric((w.admitted["w"]-admitted)/requestUnits/requests, "admitted/asked")
 	b.ReportMetric(float64(w.messages)/requests, "messages/request")
 }
--- a/internal/quota/zone.go
+++ b/internal/quota/zone.go
@@ -73,12 +73,12 @@
 func (l *Ledger) zoneShares(now clock.Millis, limits map[string]Limit, zone *zoneState) map[string]float64 {
 	shares := make(map[string]float64, len(limits))
 	for name, limit := range limits {
-		minShare := evenFraction*limit.Rate + minRate
-		total := l.workspace(name).requested.now(now) + minShare
+		baseDemand := evenFraction*limit.Rate + minRate
+		total := l.workspace(name).requested.now(now) + baseDemand
 		for _, z := range l.zones {
-			total += z.rates[name].Requested + minShare
+			total += z.rates[name].Requested + baseDemand
 		}
-		shares[name] = (zone.rates[name].Requested + minShare) / total
+		shares[name] = (zone.rates[name].Requested + baseDemand) / total
 	}
 	return shares
 }
