--- a/internal/cell/admit.go
+++ b/internal/cell/admit.go
@@ -58,7 +58,7 @@
 }
 
 func (c *Cell) newWaiting(now clock.Millis, a AttemptRequest) *waiting {
-	w := &waiting{ask: a, rank: math.MaxInt, weight: 1, cost: 1, since: now, deadline: now.Add(a.Budget)}
+	w := &waiting{request: a, rank: math.MaxInt, weight: 1, cost: 1, since: now, deadline: now.Add(a.Budget)}
 	if class, ok := c.catalog.Classes[a.Class]; ok {
 		w.rank, w.share, w.tbt = class.Rank, class.Share, class.TBT
 	}
@@ -131,7 +131,7 @@
 	kept := c.queue.items[:0]
 	for _, w := range c.queue.items {
 		best, ok := c.bestTerms(now, w)
-		best.Wait, best.Budget = now.Sub(w.since), w.ask.Budget
+		best.Wait, best.Budget = now.Sub(w.since), w.request.Budget
 		switch {
 		case !ok:
 			c.refuse(now, w, ReasonNoEndpoint, best)
@@ -146,7 +146,7 @@
 }
 
 func (c *Cell) grant(now clock.Millis, w *waiting, p placement) {
-	a := w.ask
+	a := w.request
 	r := &reservation{
 		attempt: a.Attempt, owner: a.Owner, workspace: a.Workspace, kind: a.Kind, class: a.Class,
 		tokens: a.Tokens, tbt: w.tbt, decode: p.decode.Name, phase: Granted, granted: now,
@@ -180,16 +180,16 @@
 
 func (c *Cell) refuse(now clock.Millis, w *waiting, reason string, t Terms) {
 	c.options.OnDecision("refused_" + reason)
-	c.recordDecision(now, w.ask.Attempt, "refused: "+reason, t)
-	c.emit(SendRefusal{To: w.ask.Owner, Refusal: Refusal{
-		Attempt: w.ask.Attempt, Reason: reason, RetryAfter: c.retryAfter(now, w, t), Terms: t,
+	c.recordDecision(now, w.request.Attempt, "refused: "+reason, t)
+	c.emit(SendRefusal{To: w.request.Owner, Refusal: Refusal{
+		Attempt: w.request.Attempt, Reason: reason, RetryAfter: c.retryAfter(now, w, t), Terms: t,
 	}})
 }
 
 // retryAfter predicts when a request like this one would be admitted, with
 // jitter so that refused callers do not all retry at once.
 func (c *Cell) retryAfter(now clock.Millis, w *waiting, t Terms) time.Duration {
-	wait := c.predictWait(now, len(c.queue.items)) + t.Prefill + t.Link + t.Step - w.ask.Budget
-	spread := time.Duration(float64(max(wait, minRetryAfter)) * jitter(w.ask.Attempt))
+	wait := c.predictWait(now, len(c.queue.items)) + t.Prefill + t.Link + t.Step - w.request.Budget
+	spread := time.Duration(float64(max(wait, minRetryAfter)) * jitter(w.request.Attempt))
 	return min(max(wait, minRetryAfter)+spread, maxRetryAfter)
 }
--- a/internal/cell/announce.go
+++ b/internal/cell/announce.go
@@ -50,8 +50,8 @@
 		c.emit(SendUnknown{To: a.Owner, Unknown: UnknownAttempts{Cell: c.Name, Attempts: unknown}})
 	}
 	c.queue.items = slices.DeleteFunc(c.queue.items, func(w *waiting) bool {
-		return w.ask.Owner.id() == a.Owner.id() && now.Sub(w.since) > grantGrace &&
-			!slices.Contains(a.Waiting, w.ask.Attempt)
+		return w.request.Owner.id() == a.Owner.id() && now.Sub(w.since) > grantGrace &&
+			!slices.Contains(a.Waiting, w.request.Attempt)
 	})
 }
 
@@ -84,7 +84,7 @@
 		c.end(now, r, "entry "+r.owner.Node+" stopped sending messages")
 	}
 	c.queue.items = slices.DeleteFunc(c.queue.items, func(w *waiting) bool {
-		return now.Sub(max(c.owners[w.ask.Owner.id()], w.since)) > c.options.OwnerExpiry
+		return now.Sub(max(c.owners[w.request.Owner.id()], w.since)) > c.options.OwnerExpiry
 	})
 	for id, at := range c.recentlyEnded {
 		if now.Sub(at) > endedRetention {
@@ -102,7 +102,8 @@
 // messages do not start or adopt them again.
 const endedRetention = 5 * time.Second
 
-// ownerRetention is how long the last announcement of an entry is remembered.
+// ownerRetention is how long an entry is remembered after its last announcement
+// or request.
 const ownerRetention = time.Minute
 
 func (c *Cell) lastReceived(r *reservation) clock.Millis {
--- a/internal/cell/baseline.go
+++ b/internal/cell/baseline.go
@@ -10,12 +10,12 @@
 // grantBaseline implements the baseline policies: it grants at once, without
 // queue, admission control or a check for free slots.
 func (c *Cell) grantBaseline(now clock.Millis, w *waiting) {
-	p := placement{terms: Terms{Budget: w.ask.Budget}}
+	p := placement{terms: Terms{Budget: w.request.Budget}}
 	p.decode = c.pickBaseline(now, w, catalog.RoleDecode) // also picks plain services
-	if w.ask.Tokens > 0 {
+	if w.request.Tokens > 0 {
 		p.prefill = c.pickBaseline(now, w, catalog.RolePrefill)
 	}
-	if p.decode == nil || (w.ask.Tokens > 0 && p.prefill == nil) {
+	if p.decode == nil || (w.request.Tokens > 0 && p.prefill == nil) {
 		c.refuse(now, w, ReasonNoEndpoint, p.terms)
 		return
 	}
@@ -28,7 +28,7 @@
 func (c *Cell) pickBaseline(now clock.Millis, w *waiting, role string) *server {
 	var fit []*server
 	for _, s := range c.order {
-		if (s.Role == catalog.RolePrefill) == (role == catalog.RolePrefill) && s.available(now, w.ask.Avoid) {
+		if (s.Role == catalog.RolePrefill) == (role == catalog.RolePrefill) && s.available(now, w.request.Avoid) {
 			fit = append(fit, s)
 		}
 	}
--- a/internal/cell/baseline_test.go
+++ b/internal/cell/baseline_test.go
@@ -17,8 +17,8 @@
 	for _, policy := range []string{cell.PolicyRoundRobin, cell.PolicyLagged} {
 		t.Run(policy, func(t *testing.T) {
 			c := qt.New(t)
-			p := &benchCell{now: 1_000_000, owners: []cell.Owner{{Node: "n", Incarnation: 1}}}
-			p.cell = cell.New(name, p.now, cell.Options{Policy: policy, OwnerExpiry: time.Minute})
+			cl := &benchCell{now: 1_000_000, owners: []cell.Owner{{Node: "n", Incarnation: 1}}}
+			cl.cell = cell.New(name, cl.now, cell.Options{Policy: policy, OwnerExpiry: time.Minute})
 			var members []catalog.Member
 			for _, m := range []catalog.Member{
 				{Name: "d1", Role: catalog.RoleDecode},
@@ -31,13 +31,13 @@
 				m.Slots, m.LinkRate = 100, 1000
 				members = append(members, m)
 			}
-			p.cell.Apply(p.now, cell.Configured{Catalog: catalog.New(), Members: members})
+			cl.cell.Apply(cl.now, cell.Configured{Catalog: catalog.New(), Members: members})
 			for _, m := range members {
-				p.cell.Apply(p.now, cell.Reported{Endpoint: m.Name, Report: endpoint.Report{}})
+				cl.cell.Apply(cl.now, cell.Reported{Endpoint: m.Name, Report: endpoint.Report{}})
 			}
 			got := map[string]int{}
 			for range 40 {
-				for _, e := range p.cell.Apply(p.now, p.nextAsk()) {
+				for _, e := range cl.cell.Apply(cl.now, cl.nextRequest()) {
 					got[e.(cell.SendGrant).Grant.Prefill]++
 					got[e.(cell.SendGrant).Grant.Decode]++
 				}
--- a/internal/cell/bench_test.go
+++ b/internal/cell/bench_test.go
@@ -28,7 +28,7 @@
 // newBenchCell returns a cell with a third of its endpoints for prefill and one
 // free slot at each decode endpoint.
 func newBenchCell(endpoints int) *benchCell {
-	p := &benchCell{now: 1_000_000}
+	cl := &benchCell{now: 1_000_000}
 	var members []catalog.Member
 	for i := range endpoints {
 		m := catalog.Member{Name: fmt.Sprintf("e%02d", i), Role: catalog.RoleDecode, Slots: 20, LinkRate: 1_000_000}
@@ -37,12 +37,12 @@
 		}
 		members = append(members, m)
 	}
-	p.cell = cell.New(name, p.now, cell.Options{Policy: cell.PolicyJoint, OwnerExpiry: expiry, RetryRatio: 0.1})
-	p.cell.Apply(p.now, cell.Configured{Catalog: catalog.New(), Members: members})
+	cl.cell = cell.New(name, cl.now, cell.Options{Policy: cell.PolicyJoint, OwnerExpiry: expiry, RetryRatio: 0.1})
+	cl.cell.Apply(cl.now, cell.Configured{Catalog: catalog.New(), Members: members})
 	for i := range entries {
-		p.owners = append(p.owners, cell.Owner{Node: fmt.Sprintf("n%02d", i), Incarnation: 1})
+		cl.owners = append(cl.owners, cell.Owner{Node: fmt.Sprintf("n%02d", i), Incarnation: 1})
 	}
-	p.running = make([][]cell.AnnouncedAttempt, entries)
+	cl.running = make([][]cell.AnnouncedAttempt, entries)
 	n := 0
 	for _, m := range members {
 		report := cell.Reported{Endpoint: m.Name, Report: endpoint.Report{Load: endpoint.Load{Running: 19, StepUS: 37_000}}}
@@ -51,62 +51,63 @@
 				break
 			}
 			id := cell.NewAttemptID(fmt.Sprintf("00000000-0000-0000-0000-%012d", n), 1)
-			p.running[n%entries] = append(p.running[n%entries], cell.AnnouncedAttempt{Attempt: id, Phase: cell.Streaming, Prefill: "e00", Decode: m.Name})
+			cl.running[n%entries] = append(cl.running[n%entries], cell.AnnouncedAttempt{Attempt: id, Phase: cell.Streaming, Prefill: "e00", Decode: m.Name})
 			report.Report.Held = append(report.Report.Held, endpoint.HeldAttempt{Attempt: string(id), Phase: "decode"})
 			n++
 		}
-		p.reports = append(p.reports, report)
+		cl.reports = append(cl.reports, report)
 	}
-	p.announce()
-	p.report()
-	return p
+	cl.announce()
+	cl.report()
+	return cl
 }
 
-func (p *benchCell) announce() {
-	for i, o := range p.owners {
-		p.cell.Apply(p.now, cell.Announcement{Cell: name, Owner: o, Running: p.running[i]})
+func (b *benchCell) announce() {
+	for i, o := range b.owners {
+		b.cell.Apply(b.now, cell.Announcement{Cell: name, Owner: o, Running: b.running[i]})
 	}
 }
 
-func (p *benchCell) report() {
-	for _, r := range p.reports {
-		r.RequestedAt = p.now
-		p.cell.Apply(p.now, r)
+func (b *benchCell) report() {
+	for _, r := range b.reports {
+		r.RequestedAt = b.now
+		b.cell.Apply(b.now, r)
 	}
 }
 
-func (p *benchCell) ask() cell.AttemptID {
-	a := p.nextAsk()
-	p.cell.Apply(p.now, a)
+func (b *benchCell) submit() cell.AttemptID {
+	a := b.nextRequest()
+	b.cell.Apply(b.now, a)
 	return a.Attempt
 }
 
-func (p *benchCell) nextAsk() cell.AttemptRequest {
-	p.next++
-	id := cell.NewAttemptID(fmt.Sprintf("10000000-0000-0000-0000-%012d", p.next), 1)
+func (b *benchCell) nextRequest() cell.AttemptRequest {
+	b.next++
+	id := cell.NewAttemptID(fmt.Sprintf("10000000-0000-0000-0000-%012d", b.next), 1)
 	blocks := make([]uint64, 24)
 	for i := range blocks {
-		blocks[i] = uint64(p.next%500*100 + i)
+		blocks[i] = uint64(b.next%500*100 + i)
 	}
 	return cell.AttemptRequest{
-		Cell: name, Attempt: id, Owner: p.owners[p.next%len(p.owners)], Workspace: fmt.Sprintf("w%d", p.next%50),
+		Cell: name, Attempt: id, Owner: b.owners[b.next%len(b.owners)], Workspace: fmt.Sprintf("w%d", b.next%50),
 		Kind: "k", Tokens: 1500, Blocks: blocks, MaxTokens: 100, Budget: 1500 * time.Millisecond,
 	}
 }
 
-// BenchmarkRequest measures all events of one request, from Ask to Finished.
+// BenchmarkRequest measures all events of one request, from its AttemptRequest to
+// Finished.
 func BenchmarkRequest(b *testing.B) {
 	for _, endpoints := range []int{6, 24, 48} {
 		b.Run(fmt.Sprintf("%d endpoints", endpoints), func(b *testing.B) {
-			p := newBenchCell(endpoints)
+			cl := newBenchCell(endpoints)
 			for b.Loop() {
-				p.now++
-				id := p.ask()
-				p.cell.Apply(p.now, cell.Progress{Cell: name, Attempt: id, Phase: cell.Prefilled, Duration: 50 * time.Millisecond})
-				p.cell.Apply(p.now, cell.Progress{Cell: name, Attempt: id, Phase: cell.Streaming})
-				p.cell.Apply(p.now, cell.Progress{Cell: name, Attempt: id, Phase: cell.Finished, Duration: time.Second, Tokens: 50})
-				if p.next%100 == 0 {
-					p.announce()
+				cl.now++
+				id := cl.submit()
+				cl.cell.Apply(cl.now, cell.Progress{Cell: name, Attempt: id, Phase: cell.Prefilled, Duration: 50 * time.Millisecond})
+				cl.cell.Apply(cl.now, cell.Progress{Cell: name, Attempt: id, Phase: cell.Streaming})
+				cl.cell.Apply(cl.now, cell.Progress{Cell: name, Attempt: id, Phase: cell.Finished, Duration: time.Second, Tokens: 50})
+				if cl.next%100 == 0 {
+					cl.announce()
 				}
 			}
 		})
@@ -118,16 +119,16 @@
 func BenchmarkBackground(b *testing.B) {
 	for _, endpoints := range []int{6, 24, 48} {
 		b.Run(fmt.Sprintf("%d endpoints", endpoints), func(b *testing.B) {
-			p := newBenchCell(endpoints)
+			cl := newBenchCell(endpoints)
 			for b.Loop() {
 				for tick := range 100 {
-					p.now = p.now.Add(10 * time.Millisecond)
-					p.cell.Apply(p.now, cell.Tick{})
+					cl.now = cl.now.Add(10 * time.Millisecond)
+					cl.cell.Apply(cl.now, cell.Tick{})
 					if tick%30 == 0 {
-						p.announce()
+						cl.announce()
 					}
 					if tick%20 == 0 {
-						p.report()
+						cl.report()
 					}
 				}
 			}
@@ -140,13 +141,13 @@
 func BenchmarkWaiting(b *testing.B) {
 	for _, waiting := range []int{10, 100, 400} {
 		b.Run(fmt.Sprintf("%d waiting", waiting), func(b *testing.B) {
-			p := newBenchCell(48)
+			cl := newBenchCell(48)
 			for range 32 + waiting {
-				p.ask()
+				cl.submit()
 			}
 			for b.Loop() {
-				id := p.ask()
-				p.cell.Apply(p.now, cell.Progress{Cell: name, Attempt: id, Phase: cell.Withdrawn})
+				id := cl.submit()
+				cl.cell.Apply(cl.now, cell.Progress{Cell: name, Attempt: id, Phase: cell.Withdrawn})
 			}
 		})
 	}
@@ -157,18 +158,18 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	p := newBenchCell(48)
+	cl := newBenchCell(48)
 	for range 20_000 {
-		p.now++
-		id := p.ask()
-		p.cell.Apply(p.now, cell.Progress{Cell: name, Attempt: id, Phase: cell.Prefilled, Duration: 50 * time.Millisecond})
-		p.cell.Apply(p.now, cell.Progress{Cell: name, Attempt: id, Phase: cell.Finished, Duration: time.Second, Tokens: 50})
-		if p.next%100 == 0 {
-			p.announce()
+		cl.now++
+		id := cl.submit()
+		cl.cell.Apply(cl.now, cell.Progress{Cell: name, Attempt: id, Phase: cell.Prefilled, Duration: 50 * time.Millisecond})
+		cl.cell.Apply(cl.now, cell.Progress{Cell: name, Attempt: id, Phase: cell.Finished, Duration: time.Second, Tokens: 50})
+		if cl.next%100 == 0 {
+			cl.announce()
 		}
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/1e6, "MB/cell")
-	runtime.KeepAlive(p)
+	runtime.KeepAlive(cl)
 }
--- a/internal/cell/cell.go
+++ b/internal/cell/cell.go
@@ -167,7 +167,7 @@
 	}
 }
 
-// checkInvariants reports every violated invariant to Options.Violated.
+// checkInvariants reports every violated invariant to Options.OnViolation.
 func (c *Cell) checkInvariants() {
 	if c.options.Policy != PolicyJoint {
 		return // the baselines grant slots without checking
--- a/internal/cell/choose.go
+++ b/internal/cell/choose.go
@@ -25,17 +25,17 @@
 // bestTerms returns the terms of the best placement without any waiting; ok is
 // false if no endpoint can take the request.
 func (c *Cell) bestTerms(now clock.Millis, w *waiting) (best Terms, ok bool) {
-	decode := c.leastLoaded(func(s *server) bool { return s.mayBecomeAvailable(now, w.ask.Avoid) })
+	decode := c.leastLoaded(func(s *server) bool { return s.mayBecomeAvailable(now, w.request.Avoid) })
 	if decode == nil {
 		return best, false
 	}
 	best.Step = c.firstStep(decode)
-	if w.ask.Tokens == 0 {
+	if w.request.Tokens == 0 {
 		return best, true
 	}
-	for _, p := range c.prefillServers(func(s *server) bool { return s.mayBecomeAvailable(now, w.ask.Avoid) }) {
-		cached := p.prefixes.expectCached(w.ask.Blocks, w.ask.Tokens)
-		took, link := p.prefillTime(w.ask.Tokens, cached), p.linkTime(w.ask.Tokens)
+	for _, p := range c.prefillServers(func(s *server) bool { return s.mayBecomeAvailable(now, w.request.Avoid) }) {
+		cached := p.prefixes.expectCached(w.request.Blocks, w.request.Tokens)
+		took, link := p.prefillTime(w.request.Tokens, cached), p.linkTime(w.request.Tokens)
 		if !ok || took+link < best.Prefill+best.Link {
 			best.Prefill, best.Link, best.Cached, ok = took, link, cached, true
 		}
@@ -89,16 +89,16 @@
 // endpoint whose backlog has nearly been worked off. Prefix affinity needs no
 // weight of its own, as a cached prefix shortens the predicted prefill time.
 func (c *Cell) choosePlacement(now clock.Millis, w *waiting) (placement, bool) {
-	decode := c.leastLoaded(func(s *server) bool { return s.available(now, w.ask.Avoid) && s.canAdmit(w.tbt) })
+	decode := c.leastLoaded(func(s *server) bool { return s.available(now, w.request.Avoid) && s.canAdmit(w.tbt) })
 	if decode == nil {
 		return placement{}, false
 	}
 	waited := now.Sub(w.since)
-	best := placement{decode: decode, terms: Terms{Wait: waited, Step: c.firstStep(decode), Budget: w.ask.Budget}}
-	if w.ask.Tokens == 0 {
+	best := placement{decode: decode, terms: Terms{Wait: waited, Step: c.firstStep(decode), Budget: w.request.Budget}}
+	if w.request.Tokens == 0 {
 		return best, true
 	}
-	open := c.prefillServers(func(s *server) bool { return s.available(now, w.ask.Avoid) })
+	open := c.prefillServers(func(s *server) bool { return s.available(now, w.request.Avoid) })
 	idle := slices.ContainsFunc(open, func(s *server) bool { return s.backlog(now) <= maxPrefillBacklog })
 	if !idle {
 		return placement{}, false
@@ -106,10 +106,10 @@
 	for _, p := range open {
 		candidate := best
 		candidate.prefill = p
-		candidate.cached = p.prefixes.expectCached(w.ask.Blocks, w.ask.Tokens)
-		took := p.prefillTime(w.ask.Tokens, candidate.cached)
+		candidate.cached = p.prefixes.expectCached(w.request.Blocks, w.request.Tokens)
+		took := p.prefillTime(w.request.Tokens, candidate.cached)
 		ready := p.backlog(now) + took
-		link := max(p.linkUntil.Sub(now.Add(ready)), 0) + p.linkTime(w.ask.Tokens)
+		link := max(p.linkUntil.Sub(now.Add(ready)), 0) + p.linkTime(w.request.Tokens)
 		candidate.terms.Prefill, candidate.terms.Link, candidate.terms.Cached = ready, link, candidate.cached
 		if best.prefill == nil || candidate.terms.FirstToken() < best.terms.FirstToken() {
 			best = candidate
--- a/internal/cell/event.go
+++ b/internal/cell/event.go
@@ -7,7 +7,7 @@
 )
 
 // Event is an input to the dispatcher of a cell. Besides the types below, the
-// messages Ask, Progress and Announce are events.
+// messages AttemptRequest, Progress and Announcement are events.
 type Event interface{ event() }
 
 // Configured contains a newer catalog and the cell's members in it.
@@ -16,7 +16,7 @@
 	Members []catalog.Member
 }
 
-// Reported contains an endpoint's report, read at or after Began.
+// Reported contains an endpoint's report, read at or after RequestedAt.
 type Reported struct {
 	Endpoint    string
 	Report      endpoint.Report
--- a/internal/cell/explain.go
+++ b/internal/cell/explain.go
@@ -97,7 +97,7 @@
 		if c.slotWait(now, i) > c.prefillWait(now, i) {
 			why = "a decode slot"
 		}
-		all = append(all, WaitingAttempt{Request: w.ask, Position: i + 1, Since: w.since, Deadline: w.deadline, WaitingFor: why})
+		all = append(all, WaitingAttempt{Request: w.request, Position: i + 1, Since: w.since, Deadline: w.deadline, WaitingFor: why})
 	}
 	return all
 }
--- a/internal/cell/health.go
+++ b/internal/cell/health.go
@@ -40,7 +40,8 @@
 }
 
 // recordFailure counts a failure and reports whether it ejected the endpoint. It
-// never does if mayEject is false, as too few endpoints would stay available.
+// never does if mayEject is false, as too few endpoints would stay available. A
+// failed probe extends the ejection.
 func (h *health) recordFailure(now clock.Millis, mayEject bool) (ejected bool) {
 	h.failures++
 	switch {
--- a/internal/cell/health_test.go
+++ b/internal/cell/health_test.go
@@ -25,52 +25,52 @@
 }
 
 func newHealthCell(decodes int) *healthCell {
-	w := &healthCell{now: 1_000_000, counted: map[string]int{}, step: map[string]time.Duration{}, budget: time.Second}
+	h := &healthCell{now: 1_000_000, counted: map[string]int{}, step: map[string]time.Duration{}, budget: time.Second}
 	members := []catalog.Member{{Name: "p0", Role: catalog.RolePrefill, Slots: 20, LinkRate: 1_000_000}}
 	for i := range decodes {
 		members = append(members, catalog.Member{Name: fmt.Sprintf("d%d", i), Role: catalog.RoleDecode, Slots: 4, LinkRate: 1})
 	}
-	w.cell = cell.New(name, w.now, cell.Options{
+	h.cell = cell.New(name, h.now, cell.Options{
 		Policy: cell.PolicyJoint, OwnerExpiry: time.Minute, RetryRatio: 0.1,
-		OnDecision: func(what string) { w.counted[what]++ },
+		OnDecision: func(what string) { h.counted[what]++ },
 	})
-	w.cell.Apply(w.now, cell.Configured{Catalog: catalog.New(), Members: members})
+	h.cell.Apply(h.now, cell.Configured{Catalog: catalog.New(), Members: members})
 	for _, m := range members {
-		w.step[m.Name] = 20 * time.Millisecond
-		w.cell.Apply(w.now, cell.Reported{Endpoint: m.Name, RequestedAt: w.now, Report: endpoint.Report{
+		h.step[m.Name] = 20 * time.Millisecond
+		h.cell.Apply(h.now, cell.Reported{Endpoint: m.Name, RequestedAt: h.now, Report: endpoint.Report{
 			Load: endpoint.Load{Running: 1, StepUS: 20_000},
 		}})
 	}
-	return w
+	return h
 }
 
 // serve requests a grant for one attempt and lets the granted endpoint answer at
 // its speed. It returns that endpoint, or "" if the request was refused.
-func (w *healthCell) serve(retry bool) string {
-	w.next++
-	id := cell.NewAttemptID(fmt.Sprint(w.next), 1)
-	w.now = w.now.Add(100 * time.Millisecond)
-	for _, e := range w.cell.Apply(w.now, cell.AttemptRequest{
+func (h *healthCell) serve(retry bool) string {
+	h.next++
+	id := cell.NewAttemptID(fmt.Sprint(h.next), 1)
+	h.now = h.now.Add(100 * time.Millisecond)
+	for _, e := range h.cell.Apply(h.now, cell.AttemptRequest{
 		Cell: name, Attempt: id, Owner: cell.Owner{Node: "e"}, Workspace: "w", Kind: "k",
-		Tokens: 10, MaxTokens: 50, Budget: w.budget, Retry: retry,
+		Tokens: 10, MaxTokens: 50, Budget: h.budget, Retry: retry,
 	}) {
 		if g, ok := e.(cell.SendGrant); ok {
-			return w.answer(id, g.Grant.Decode)
+			return h.answer(id, g.Grant.Decode)
 		}
-		w.refused++
+		h.refused++
 	}
 	return ""
 }
 
-func (w *healthCell) answer(id cell.AttemptID, at string) string {
+func (h *healthCell) answer(id cell.AttemptID, at string) string {
 	const tokens = 10
 	for _, p := range []cell.Progress{
 		{Phase: cell.Prefilled, Duration: time.Millisecond},
 		{Phase: cell.Streaming},
-		{Phase: cell.Finished, Duration: tokens * w.step[at], Tokens: tokens},
+		{Phase: cell.Finished, Duration: tokens * h.step[at], Tokens: tokens},
 	} {
 		p.Cell, p.Attempt = name, id
-		w.cell.Apply(w.now, p)
+		h.cell.Apply(h.now, p)
 	}
 	return at
 }
@@ -79,47 +79,47 @@
 // must be ejected, probed, and readmitted once it is fast again.
 func TestSlowEndpointIsEjected(t *testing.T) {
 	c := qt.New(t)
-	w := newHealthCell(3)
+	h := newHealthCell(3)
 	served := func(n int) map[string]int {
 		at := map[string]int{}
 		for range n {
-			at[w.serve(false)]++
+			at[h.serve(false)]++
 		}
 		return at
 	}
 	c.Assert(served(30)["d0"] > 0, qt.IsTrue)
-	w.step["d0"] = 200 * time.Millisecond
+	h.step["d0"] = 200 * time.Millisecond
 	served(10)
-	c.Assert(w.counted["ejected"], qt.Equals, 1)
+	c.Assert(h.counted["ejected"], qt.Equals, 1)
 	c.Assert(served(30)["d0"], qt.Equals, 0)
 	c.Assert(served(100)["d0"] <= 3, qt.IsTrue) // probes, one every five seconds
-	w.step["d0"] = 20 * time.Millisecond
+	h.step["d0"] = 20 * time.Millisecond
 	served(60)
-	c.Assert(w.counted["readmitted"], qt.Equals, 1)
+	c.Assert(h.counted["readmitted"], qt.Equals, 1)
 	c.Assert(served(30)["d0"] >= 5, qt.IsTrue)
-	c.Assert(w.refused, qt.Equals, 0)
+	c.Assert(h.refused, qt.Equals, 0)
 }
 
 // TestAtMostHalfIsEjected checks that at most half of a pool is ejected, even if
 // all endpoints fail.
 func TestAtMostHalfIsEjected(t *testing.T) {
 	c := qt.New(t)
-	w := newHealthCell(4)
+	h := newHealthCell(4)
 	for i := range 80 {
 		id := cell.NewAttemptID(fmt.Sprint(i), 1)
-		w.now = w.now.Add(10 * time.Millisecond)
-		for _, e := range w.cell.Apply(w.now, cell.AttemptRequest{
+		h.now = h.now.Add(10 * time.Millisecond)
+		for _, e := range h.cell.Apply(h.now, cell.AttemptRequest{
 			Cell: name, Attempt: id, Owner: cell.Owner{Node: "e"}, Tokens: 10, MaxTokens: 50, Budget: time.Second,
 		}) {
 			if g, ok := e.(cell.SendGrant); ok {
-				w.cell.Apply(w.now, cell.Progress{Cell: name, Attempt: id, Phase: cell.Failed, FailedEndpoint: g.Grant.Decode})
-				w.cell.Apply(w.now, cell.Cancelled{Endpoint: g.Grant.Decode, Attempt: id, Freed: true})
-				w.cell.Apply(w.now, cell.Cancelled{Endpoint: "p0", Attempt: id, Freed: true})
+				h.cell.Apply(h.now, cell.Progress{Cell: name, Attempt: id, Phase: cell.Failed, FailedEndpoint: g.Grant.Decode})
+				h.cell.Apply(h.now, cell.Cancelled{Endpoint: g.Grant.Decode, Attempt: id, Freed: true})
+				h.cell.Apply(h.now, cell.Cancelled{Endpoint: "p0", Attempt: id, Freed: true})
 			}
 		}
 	}
 	ejected := 0
-	for _, s := range w.cell.Endpoints() {
+	for _, s := range h.cell.Endpoints() {
 		if s.Ejected {
 			ejected++
 		}
@@ -132,41 +132,41 @@
 // report.
 func TestUnreachableEndpoints(t *testing.T) {
 	c := qt.New(t)
-	w := newHealthCell(2)
+	h := newHealthCell(2)
 	silence := func(endpoint string) {
 		for range 3 {
-			w.cell.Apply(w.now, cell.Unreachable{Endpoint: endpoint})
+			h.cell.Apply(h.now, cell.Unreachable{Endpoint: endpoint})
 		}
 	}
 	silence("d0")
 	for range 10 {
-		c.Assert(w.serve(false), qt.Equals, "d1")
+		c.Assert(h.serve(false), qt.Equals, "d1")
 	}
 	silence("d1")
-	c.Assert(w.serve(false), qt.Equals, "")
-	c.Assert(w.refused, qt.Equals, 1) // at once, so that its entry can try another zone
-	w.cell.Apply(w.now, cell.Reported{Endpoint: "d0", RequestedAt: w.now})
-	c.Assert(w.serve(false), qt.Equals, "d0")
+	c.Assert(h.serve(false), qt.Equals, "")
+	c.Assert(h.refused, qt.Equals, 1) // at once, so that its entry can try another zone
+	h.cell.Apply(h.now, cell.Reported{Endpoint: "d0", RequestedAt: h.now})
+	c.Assert(h.serve(false), qt.Equals, "d0")
 }
 
 // TestRetryBudget checks that retries stay a fraction of the successes, so that
 // the failure of half a pool does not double the load on the other half.
 func TestRetryBudget(t *testing.T) {
 	c := qt.New(t)
-	w := newHealthCell(2)
+	h := newHealthCell(2)
 	granted := 0
 	for range 200 {
-		if w.serve(true) != "" {
+		if h.serve(true) != "" {
 			granted++
 		}
 	}
 	c.Assert(granted >= 10 && granted <= 12, qt.IsTrue, qt.Commentf("%d", granted))
 	for range 100 {
-		w.serve(false)
+		h.serve(false)
 	}
 	again := 0
 	for range 200 {
-		if w.serve(true) != "" {
+		if h.serve(true) != "" {
 			again++
 		}
 	}
@@ -187,10 +187,10 @@
 	for _, test := range tests {
 		t.Run(test.budget.String(), func(t *testing.T) {
 			c := qt.New(t)
-			w := newHealthCell(1)
-			w.budget = test.budget
-			w.serve(false)
-			c.Assert(w.refused, qt.Equals, test.want)
+			h := newHealthCell(1)
+			h.budget = test.budget
+			h.serve(false)
+			c.Assert(h.refused, qt.Equals, test.want)
 		})
 	}
 }
--- a/internal/cell/outlier.go
+++ b/internal/cell/outlier.go
@@ -24,17 +24,17 @@
 // mayEject reports whether another endpoint of the role may be ejected: at least
 // half of them must stay available.
 func (c *Cell) mayEject(now clock.Millis, s *server) bool {
-	open, all := 0, 0
+	available, all := 0, 0
 	for _, other := range c.order {
 		if other.Role != s.Role {
 			continue
 		}
 		all++
 		if other.available(now, nil) {
-			open++
+			available++
 		}
 	}
-	return 2*(open-1) >= all
+	return 2*(available-1) >= all
 }
 
 // evaluatePrefill updates an endpoint's speed from a prefill that ran alone and
--- a/internal/cell/predict.go
+++ b/internal/cell/predict.go
@@ -33,7 +33,7 @@
 	wait := total / time.Duration(n)
 	tokens := 0
 	for _, w := range c.queue.items[:ahead] {
-		tokens += w.ask.Tokens
+		tokens += w.request.Tokens
 	}
 	return max(wait+time.Duration(float64(tokens)/rate*float64(time.Second))-maxPrefillBacklog, 0)
 }
--- a/internal/cell/queue.go
+++ b/internal/cell/queue.go
@@ -15,7 +15,7 @@
 
 // waiting is an attempt in the queue.
 type waiting struct {
-	ask      AttemptRequest
+	request  AttemptRequest
 	rank     int
 	weight   float64 // of the workspace
 	cost     float64 // weight of the kind times the predicted work
@@ -48,19 +48,19 @@
 func (q *queue) syncVirtualTime(w *waiting) {
 	least := math.Inf(1)
 	for _, other := range q.items {
-		if other.ask.Workspace == w.ask.Workspace {
+		if other.request.Workspace == w.request.Workspace {
 			return
 		}
-		least = min(least, q.virtualTime[other.ask.Workspace])
+		least = min(least, q.virtualTime[other.request.Workspace])
 	}
 	if !math.IsInf(least, 1) {
-		q.virtualTime[w.ask.Workspace] = max(q.virtualTime[w.ask.Workspace], least)
+		q.virtualTime[w.request.Workspace] = max(q.virtualTime[w.request.Workspace], least)
 	}
 }
 
 func (q *queue) find(id AttemptID) *waiting {
 	for _, w := range q.items {
-		if w.ask.Attempt == id {
+		if w.request.Attempt == id {
 			return w
 		}
 	}
@@ -69,7 +69,7 @@
 
 func (q *queue) remove(id AttemptID) bool {
 	n := len(q.items)
-	q.items = slices.DeleteFunc(q.items, func(w *waiting) bool { return w.ask.Attempt == id })
+	q.items = slices.DeleteFunc(q.items, func(w *waiting) bool { return w.request.Attempt == id })
 	return len(q.items) < n
 }
 
@@ -79,13 +79,13 @@
 	if len(q.items) == 0 {
 		clear(q.virtualTime) // without competing requests no workspace is ahead or behind
 	}
-	q.virtualTime[w.ask.Workspace] += w.cost / w.weight
+	q.virtualTime[w.request.Workspace] += w.cost / w.weight
 	decay := math.Exp(-float64(now.Sub(q.decayedAt)) / float64(shareWindow))
 	for class := range q.grantedWork {
 		q.grantedWork[class] *= decay
 	}
 	q.decayedAt = now
-	q.grantedWork[w.ask.Class] += w.cost
+	q.grantedWork[w.request.Class] += w.cost
 }
 
 // sort sorts the queue into the order of service.
@@ -101,7 +101,7 @@
 	if c := cmp.Compare(q.effectiveRank(a, total), q.effectiveRank(b, total)); c != 0 {
 		return c
 	}
-	if c := cmp.Compare(q.virtualTime[a.ask.Workspace], q.virtualTime[b.ask.Workspace]); c != 0 {
+	if c := cmp.Compare(q.virtualTime[a.request.Workspace], q.virtualTime[b.request.Workspace]); c != 0 {
 		return c
 	}
 	return cmp.Compare(a.deadline, b.deadline)
@@ -110,7 +110,7 @@
 // effectiveRank returns the rank of the class, or -1, ahead of all others, while
 // the class is below its minimum share.
 func (q *queue) effectiveRank(w *waiting, total float64) int {
-	if w.share > 0 && total > 0 && q.grantedWork[w.ask.Class] < w.share*total {
+	if w.share > 0 && total > 0 && q.grantedWork[w.request.Class] < w.share*total {
 		return -1
 	}
 	return w.rank
--- a/internal/cell/simulation_test.go
+++ b/internal/cell/simulation_test.go
@@ -66,112 +66,112 @@
 }
 
 func newSimulation(seed uint64, prefills, decodes int) *simulation {
-	w := &simulation{
+	s := &simulation{
 		random: rand.New(rand.NewPCG(seed, 7)), now: 1_000_000, catalog: catalog.New(),
 		scheduled: map[clock.Millis][]func(){}, engines: map[string]*engine{}, answers: map[cell.AttemptID]int{}, granted: map[cell.AttemptID]*cell.Grant{}, maxAnswer: 60_000,
 	}
-	w.change(catalog.VerbCreate, "zone", "a")
-	w.change(catalog.VerbCreate, "class", "c", "ttft", "1500ms", "tbt", "100ms")
-	w.change(catalog.VerbCreate, "workspace", "w", "class", "c")
-	w.change(catalog.VerbCreate, "kind", "k", "serves", "m")
+	s.change(catalog.VerbCreate, "zone", "a")
+	s.change(catalog.VerbCreate, "class", "c", "ttft", "1500ms", "tbt", "100ms")
+	s.change(catalog.VerbCreate, "workspace", "w", "class", "c")
+	s.change(catalog.VerbCreate, "kind", "k", "serves", "m")
 	for _, p := range []string{catalog.RolePrefill, catalog.RoleDecode} {
-		w.change(catalog.VerbCreate, "pool", p, "zone", "a", "role", p, "serves", "m")
+		s.change(catalog.VerbCreate, "pool", p, "zone", "a", "role", p, "serves", "m")
 	}
 	for i := range prefills {
-		w.addEngine(fmt.Sprintf("p%d", i), catalog.RolePrefill, 100)
+		s.addEngine(fmt.Sprintf("p%d", i), catalog.RolePrefill, 100)
 	}
 	for i := range decodes {
-		w.addEngine(fmt.Sprintf("d%d", i), catalog.RoleDecode, decodeSlots)
+		s.addEngine(fmt.Sprintf("d%d", i), catalog.RoleDecode, decodeSlots)
 	}
-	w.restart()
+	s.restart()
 	for i := range 3 {
-		w.addEntry(fmt.Sprintf("e%d", i))
+		s.addEntry(fmt.Sprintf("e%d", i))
 	}
-	return w
+	return s
 }
 
-func (w *simulation) addEngine(id, role string, slots int) {
-	w.change(catalog.VerbCreate, "endpoint", id, "pool", role, "slots", fmt.Sprint(slots), "address", "127.0.0.1:1")
-	w.engines[id] = &engine{role: role, slots: slots, held: map[cell.AttemptID]bool{}}
+func (s *simulation) addEngine(id, role string, slots int) {
+	s.change(catalog.VerbCreate, "endpoint", id, "pool", role, "slots", fmt.Sprint(slots), "address", "127.0.0.1:1")
+	s.engines[id] = &engine{role: role, slots: slots, held: map[cell.AttemptID]bool{}}
 }
 
-func (w *simulation) addEntry(id string) {
-	w.entries = append(w.entries, &fakeEntry{
-		owner:         cell.Owner{Node: id, Incarnation: int64(w.now), Address: netip.MustParseAddrPort("127.0.0.1:2")},
-		lastAnnounced: w.now, attempts: map[cell.AttemptID]*fakeAttempt{},
+func (s *simulation) addEntry(id string) {
+	s.entries = append(s.entries, &fakeEntry{
+		owner:         cell.Owner{Node: id, Incarnation: int64(s.now), Address: netip.MustParseAddrPort("127.0.0.1:2")},
+		lastAnnounced: s.now, attempts: map[cell.AttemptID]*fakeAttempt{},
 	})
 }
 
-func (w *simulation) change(verb, noun, id string, fields ...string) {
-	ch := catalog.Change{Revision: w.catalog.Revision + 1, Verb: verb, Noun: noun, Name: id}
+func (s *simulation) change(verb, noun, id string, fields ...string) {
+	ch := catalog.Change{Revision: s.catalog.Revision + 1, Verb: verb, Noun: noun, Name: id}
 	for i := 0; i < len(fields); i += 2 {
 		ch.To = append(ch.To, catalog.Field{Name: fields[i], Value: fields[i+1]})
 	}
-	next, err := w.catalog.Apply(ch)
+	next, err := s.catalog.Apply(ch)
 	if err != nil {
 		panic(err)
 	}
-	w.catalog = next
-	if w.cell != nil {
-		w.apply(cell.Configured{Catalog: w.catalog, Members: w.catalog.Layout("a")[name]})
+	s.catalog = next
+	if s.cell != nil {
+		s.apply(cell.Configured{Catalog: s.catalog, Members: s.catalog.Layout("a")[name]})
 	}
 }
 
 // restart replaces the dispatcher by a new one without state.
-func (w *simulation) restart() {
-	w.cell = cell.New(name, w.now, cell.Options{
+func (s *simulation) restart() {
+	s.cell = cell.New(name, s.now, cell.Options{
 		Policy: cell.PolicyJoint, OwnerExpiry: expiry, RetryRatio: 0.1,
-		OnViolation: func(what string) { w.violations = append(w.violations, what) },
+		OnViolation: func(what string) { s.violations = append(s.violations, what) },
 	})
-	w.apply(cell.Configured{Catalog: w.catalog, Members: w.catalog.Layout("a")[name]})
+	s.apply(cell.Configured{Catalog: s.catalog, Members: s.catalog.Layout("a")[name]})
 }
 
-func (w *simulation) deliver(do func()) {
-	at := w.now.Add(time.Duration(1+w.random.IntN(maxDelay)) * time.Millisecond)
-	w.scheduled[at] = append(w.scheduled[at], do)
+func (s *simulation) deliver(do func()) {
+	at := s.now.Add(time.Duration(1+s.random.IntN(maxDelay)) * time.Millisecond)
+	s.scheduled[at] = append(s.scheduled[at], do)
 }
 
-func (w *simulation) schedule(d time.Duration, do func()) {
-	at := w.now.Add(max(d, time.Millisecond))
-	w.scheduled[at] = append(w.scheduled[at], do)
+func (s *simulation) schedule(d time.Duration, do func()) {
+	at := s.now.Add(max(d, time.Millisecond))
+	s.scheduled[at] = append(s.scheduled[at], do)
 }
 
-func (w *simulation) deliverLossy(do func()) {
-	if w.random.Float64() >= w.loss {
-		w.deliver(do)
+func (s *simulation) deliverLossy(do func()) {
+	if s.random.Float64() >= s.loss {
+		s.deliver(do)
 	}
 }
 
-func (w *simulation) apply(e cell.Event) {
-	for _, effect := range w.cell.Apply(w.now, e) {
+func (s *simulation) apply(e cell.Event) {
+	for _, effect := range s.cell.Apply(s.now, e) {
 		switch f := effect.(type) {
 		case cell.SendGrant:
 			// A grant that is sent again counts as one answer.
-			if first := w.granted[f.Grant.Attempt]; first == nil || *first != f.Grant {
-				w.answers[f.Grant.Attempt]++
-				w.granted[f.Grant.Attempt] = &f.Grant
+			if first := s.granted[f.Grant.Attempt]; first == nil || *first != f.Grant {
+				s.answers[f.Grant.Attempt]++
+				s.granted[f.Grant.Attempt] = &f.Grant
 			}
-			w.deliverLossy(func() { w.receiveGrant(f) })
+			s.deliverLossy(func() { s.receiveGrant(f) })
 		case cell.SendRefusal:
-			w.answers[f.Refusal.Attempt]++
-			w.deliver(func() { w.closeAttempt(f.To, f.Refusal.Attempt) })
+			s.answers[f.Refusal.Attempt]++
+			s.deliver(func() { s.closeAttempt(f.To, f.Refusal.Attempt) })
 		case cell.SendFenced:
-			w.deliver(func() { w.closeAttempt(f.To, f.Fenced.Attempt) })
+			s.deliver(func() { s.closeAttempt(f.To, f.Fenced.Attempt) })
 		case cell.Cancel:
-			w.deliverLossy(func() { w.cancel(f) })
+			s.deliverLossy(func() { s.cancel(f) })
 		}
 	}
 }
 
-func (w *simulation) cancel(f cell.Cancel) {
-	e := w.engines[f.Endpoint]
-	known := e.held[f.Attempt]
+func (s *simulation) cancel(f cell.Cancel) {
+	e := s.engines[f.Endpoint]
+	freed := e.held[f.Attempt]
 	delete(e.held, f.Attempt)
-	w.deliverLossy(func() { w.apply(cell.Cancelled{Endpoint: f.Endpoint, Attempt: f.Attempt, Freed: known}) })
+	s.deliverLossy(func() { s.apply(cell.Cancelled{Endpoint: f.Endpoint, Attempt: f.Attempt, Freed: freed}) })
 }
 
-func (w *simulation) entryOf(o cell.Owner) *fakeEntry {
-	for _, e := range w.entries {
+func (s *simulation) entryOf(o cell.Owner) *fakeEntry {
+	for _, e := range s.entries {
 		if e.owner == o && !e.dead {
 			return e
 		}
@@ -181,20 +181,20 @@
 
 // afterFreeze runs do now, or as soon as the entry is no longer frozen. A dead
 // entry never runs it.
-func (w *simulation) afterFreeze(e *fakeEntry, do func()) {
+func (s *simulation) afterFreeze(e *fakeEntry, do func()) {
 	if e == nil || e.dead {
 		return
 	}
-	if e.frozen > w.now {
-		w.schedule(e.frozen.Sub(w.now), func() { w.afterFreeze(e, do) })
+	if e.frozen > s.now {
+		s.schedule(e.frozen.Sub(s.now), func() { s.afterFreeze(e, do) })
 		return
 	}
 	do()
 }
 
-func (w *simulation) closeAttempt(o cell.Owner, id cell.AttemptID) {
-	e := w.entryOf(o)
-	w.afterFreeze(e, func() {
+func (s *simulation) closeAttempt(o cell.Owner, id cell.AttemptID) {
+	e := s.entryOf(o)
+	s.afterFreeze(e, func() {
 		if a := e.attempts[id]; a != nil {
 			a.over = true
 			delete(e.attempts, id)
@@ -202,91 +202,91 @@
 	})
 }
 
-// ask sends a request. Its caller gives up after givesUp, or never if that is 0.
-func (w *simulation) ask(e *fakeEntry, request string, tokens int, givesUp time.Duration) {
+// submit sends a request. Its caller gives up after givesUp, or never if that is 0.
+func (s *simulation) submit(e *fakeEntry, request string, tokens int, givesUp time.Duration) {
 	id := cell.NewAttemptID(request, 1)
 	a := &fakeAttempt{}
 	e.attempts[id] = a
-	ask := cell.AttemptRequest{
+	attemptRequest := cell.AttemptRequest{
 		Cell: name, Attempt: id, Request: request, Owner: e.owner, Workspace: "w", Kind: "k", Class: "c",
 		Tokens: tokens, MaxTokens: 50, Budget: 1500 * time.Millisecond,
 	}
-	w.deliver(func() { w.apply(ask) })
+	s.deliver(func() { s.apply(attemptRequest) })
 	if givesUp > 0 {
-		w.schedule(givesUp, func() { w.afterFreeze(e, func() { w.withdraw(e, id, a) }) })
+		s.schedule(givesUp, func() { s.afterFreeze(e, func() { s.withdraw(e, id, a) }) })
 	}
 }
 
-func (w *simulation) withdraw(e *fakeEntry, id cell.AttemptID, a *fakeAttempt) {
+func (s *simulation) withdraw(e *fakeEntry, id cell.AttemptID, a *fakeAttempt) {
 	if a.over {
 		return
 	}
 	a.over = true
 	delete(e.attempts, id)
-	w.deliverLossy(func() { w.apply(cell.Progress{Cell: name, Attempt: id, Phase: cell.Withdrawn}) })
+	s.deliverLossy(func() { s.apply(cell.Progress{Cell: name, Attempt: id, Phase: cell.Withdrawn}) })
 }
 
-func (w *simulation) receiveGrant(f cell.SendGrant) {
-	e := w.entryOf(f.To)
-	w.afterFreeze(e, func() {
+func (s *simulation) receiveGrant(f cell.SendGrant) {
+	e := s.entryOf(f.To)
+	s.afterFreeze(e, func() {
 		a := e.attempts[f.Grant.Attempt]
 		if a == nil || a.granted {
 			return
 		}
 		a.granted, a.grant, a.phase = true, f.Grant, cell.Granted
-		if w.now.Sub(e.lastAnnounced) > expiry/2 {
-			w.withdraw(e, f.Grant.Attempt, a) // frozen too long, so the dispatcher may have expired it
+		if s.now.Sub(e.lastAnnounced) > expiry/2 {
+			s.withdraw(e, f.Grant.Attempt, a) // frozen too long, so the dispatcher may have expired it
 			return
 		}
-		w.start(e, f.Grant.Attempt, a)
+		s.start(e, f.Grant.Attempt, a)
 	})
 }
 
 // start sends the prefill, which arrives even if the entry dies meanwhile.
-func (w *simulation) start(e *fakeEntry, id cell.AttemptID, a *fakeAttempt) {
-	w.schedule(w.startDelay+time.Duration(w.random.IntN(maxDelay))*time.Millisecond, func() {
-		w.engines[a.grant.Prefill].hold(id)
-		w.schedule(50*time.Millisecond, func() { w.afterFreeze(e, func() { w.prefilled(e, id, a) }) })
-		w.schedule(800*time.Millisecond, func() { delete(w.engines[a.grant.Prefill].held, id) })
+func (s *simulation) start(e *fakeEntry, id cell.AttemptID, a *fakeAttempt) {
+	s.schedule(s.startDelay+time.Duration(s.random.IntN(maxDelay))*time.Millisecond, func() {
+		s.engines[a.grant.Prefill].hold(id)
+		s.schedule(50*time.Millisecond, func() { s.afterFreeze(e, func() { s.prefilled(e, id, a) }) })
+		s.schedule(800*time.Millisecond, func() { delete(s.engines[a.grant.Prefill].held, id) })
 	})
 }
 
-func (w *simulation) prefilled(e *fakeEntry, id cell.AttemptID, a *fakeAttempt) {
-	if a.over || w.now.Sub(e.lastAnnounced) > expiry/2 {
-		w.withdraw(e, id, a)
+func (s *simulation) prefilled(e *fakeEntry, id cell.AttemptID, a *fakeAttempt) {
+	if a.over || s.now.Sub(e.lastAnnounced) > expiry/2 {
+		s.withdraw(e, id, a)
 		return
 	}
 	a.phase = cell.Prefilled
-	w.deliverLossy(func() {
-		w.apply(cell.Progress{Cell: name, Attempt: id, Phase: cell.Prefilled, Duration: 50 * time.Millisecond})
+	s.deliverLossy(func() {
+		s.apply(cell.Progress{Cell: name, Attempt: id, Phase: cell.Prefilled, Duration: 50 * time.Millisecond})
 	})
-	w.deliver(func() {
-		if !w.engines[a.grant.Prefill].held[id] {
+	s.deliver(func() {
+		if !s.engines[a.grant.Prefill].held[id] {
 			return // the KV cache expired
 		}
-		delete(w.engines[a.grant.Prefill].held, id)
-		d := w.engines[a.grant.Decode]
+		delete(s.engines[a.grant.Prefill].held, id)
+		d := s.engines[a.grant.Decode]
 		if len(d.held) >= d.slots {
-			w.slotRefusals++
+			s.slotRefusals++
 			return // the engine refuses the request
 		}
 		d.hold(id)
-		w.deliverLossy(func() { w.apply(cell.Progress{Cell: name, Attempt: id, Phase: cell.Streaming}) })
+		s.deliverLossy(func() { s.apply(cell.Progress{Cell: name, Attempt: id, Phase: cell.Streaming}) })
 		a.phase = cell.Streaming
-		w.schedule(time.Duration(200+w.random.IntN(w.maxAnswer))*time.Millisecond, func() { w.finish(e, id, a) })
+		s.schedule(time.Duration(200+s.random.IntN(s.maxAnswer))*time.Millisecond, func() { s.finish(e, id, a) })
 	})
 }
 
-func (w *simulation) finish(e *fakeEntry, id cell.AttemptID, a *fakeAttempt) {
-	delete(w.engines[a.grant.Decode].held, id)
-	w.afterFreeze(e, func() {
+func (s *simulation) finish(e *fakeEntry, id cell.AttemptID, a *fakeAttempt) {
+	delete(s.engines[a.grant.Decode].held, id)
+	s.afterFreeze(e, func() {
 		if a.over {
 			return
 		}
 		a.over = true
 		delete(e.attempts, id)
-		w.deliverLossy(func() {
-			w.apply(cell.Progress{Cell: name, Attempt: id, Phase: cell.Finished, Duration: time.Second, Tokens: 40})
+		s.deliverLossy(func() {
+			s.apply(cell.Progress{Cell: name, Attempt: id, Phase: cell.Finished, Duration: time.Second, Tokens: 40})
 		})
 	})
 }
@@ -298,62 +298,62 @@
 
 // run advances the time by d, with all deliveries, ticks, announcements and
 // reports.
-func (w *simulation) run(d time.Duration) {
-	for end := w.now.Add(d); w.now < end; w.now++ {
-		for _, do := range w.scheduled[w.now] {
+func (s *simulation) run(d time.Duration) {
+	for end := s.now.Add(d); s.now < end; s.now++ {
+		for _, do := range s.scheduled[s.now] {
 			do()
 		}
-		delete(w.scheduled, w.now)
-		if w.now%10 == 0 {
-			w.apply(cell.Tick{})
+		delete(s.scheduled, s.now)
+		if s.now%10 == 0 {
+			s.apply(cell.Tick{})
 		}
-		if w.now%300 == 0 {
-			w.announceAll()
+		if s.now%300 == 0 {
+			s.announceAll()
 		}
-		if w.now%200 == 0 {
-			w.reportAll()
+		if s.now%200 == 0 {
+			s.reportAll()
 		}
 	}
 }
 
-func (w *simulation) announceAll() {
-	for _, e := range w.entries {
-		if e.dead || e.frozen > w.now {
+func (s *simulation) announceAll() {
+	for _, e := range s.entries {
+		if e.dead || e.frozen > s.now {
 			continue
 		}
-		e.lastAnnounced = w.now
-		an := cell.Announcement{Cell: name, Owner: e.owner}
+		e.lastAnnounced = s.now
+		announcement := cell.Announcement{Cell: name, Owner: e.owner}
 		for _, id := range slices.Sorted(maps.Keys(e.attempts)) {
 			a := e.attempts[id]
 			if a.granted {
-				an.Running = append(an.Running, cell.AnnouncedAttempt{
+				announcement.Running = append(announcement.Running, cell.AnnouncedAttempt{
 					Attempt: id, Phase: a.phase, Prefill: a.grant.Prefill, Decode: a.grant.Decode,
 				})
 			} else {
-				an.Waiting = append(an.Waiting, id)
+				announcement.Waiting = append(announcement.Waiting, id)
 			}
 		}
-		w.deliverLossy(func() { w.apply(an) })
+		s.deliverLossy(func() { s.apply(announcement) })
 	}
 }
 
-func (w *simulation) reportAll() {
-	for _, id := range slices.Sorted(maps.Keys(w.engines)) {
-		e, began := w.engines[id], w.now
-		w.deliver(func() {
+func (s *simulation) reportAll() {
+	for _, id := range slices.Sorted(maps.Keys(s.engines)) {
+		e, requestedAt := s.engines[id], s.now
+		s.deliver(func() {
 			r := endpoint.Report{Load: endpoint.Load{Running: len(e.held), StepUS: 20_000}}
 			for _, h := range slices.Sorted(maps.Keys(e.held)) {
 				r.Held = append(r.Held, endpoint.HeldAttempt{Attempt: string(h)})
 			}
-			w.deliver(func() { w.apply(cell.Reported{Endpoint: id, Report: r, RequestedAt: began}) })
+			s.deliver(func() { s.apply(cell.Reported{Endpoint: id, Report: r, RequestedAt: requestedAt}) })
 		})
 	}
 }
 
 // held returns how many attempts all engines hold.
-func (w *simulation) held() int {
+func (s *simulation) held() int {
 	n := 0
-	for _, e := range w.engines {
+	for _, e := range s.engines {
 		n += len(e.held)
 	}
 	return n
