--- a/internal/claim/shard.go
+++ b/internal/claim/shard.go
@@ -86,7 +86,7 @@
 	Version int64
 }
 
-// Reply answers the request that Shard.Ask received with this number.
+// Reply is the answer to the claim that Shard.Submit received with this number.
 type Reply struct {
 	Number int64
 	Result Result
@@ -191,9 +191,9 @@
 // Written reports that the write took effect and gave the head this version.
 func (s *Shard) Written(now clock.Millis, version int64) []Effect {
 	s.busy, s.version, s.head = false, version, s.nextHead
-	for _, a := range s.writing {
-		s.known[a.claim.Key] = a.claim
-		s.waiting = append(s.waiting, a)
+	for _, p := range s.writing {
+		s.known[p.claim.Key] = p.claim
+		s.waiting = append(s.waiting, p)
 	}
 	s.writing = nil
 	return s.step(now)
@@ -238,35 +238,35 @@
 	if !s.loaded {
 		return
 	}
-	s.waiting = slices.DeleteFunc(s.waiting, func(a *pendingClaim) bool {
-		c, ok := s.known[a.claim.Key]
+	s.waiting = slices.DeleteFunc(s.waiting, func(p *pendingClaim) bool {
+		c, ok := s.known[p.claim.Key]
 		switch {
 		case !ok || c.ExpiresAt <= now:
 			return false
-		case c.Request == a.claim.Request:
-			s.reply(a, Result{Decision: Granted})
+		case c.Request == p.claim.Request:
+			s.reply(p, Result{Decision: Granted})
 		case s.abandoned[c.Key] == c.Request:
 			return false
 		default:
-			s.reply(a, Result{Decision: Taken, Claim: c})
+			s.reply(p, Result{Decision: Taken, Claim: c})
 		}
 		return true
 	})
 }
 
-func (s *Shard) reply(a *pendingClaim, answer Result) {
-	s.effects = append(s.effects, Reply{Number: a.number, Result: answer})
+func (s *Shard) reply(p *pendingClaim, result Result) {
+	s.effects = append(s.effects, Reply{Number: p.number, Result: result})
 }
 
 // expire replies Unavailable to claims past their deadline. That alone does not
 // free the key: the entry may have claimed it through another owner meanwhile,
 // and run the request.
 func (s *Shard) expire(now clock.Millis) {
-	late := func(a *pendingClaim) bool {
-		if a.deadline > now {
+	late := func(p *pendingClaim) bool {
+		if p.deadline > now {
 			return false
 		}
-		s.reply(a, Result{Decision: Unavailable})
+		s.reply(p, Result{Decision: Unavailable})
 		return true
 	}
 	s.waiting = slices.DeleteFunc(s.waiting, late)
@@ -286,13 +286,13 @@
 		segment++
 	}
 	taken := map[Key]bool{}
-	s.waiting = slices.DeleteFunc(s.waiting, func(a *pendingClaim) bool {
-		if taken[a.claim.Key] {
+	s.waiting = slices.DeleteFunc(s.waiting, func(p *pendingClaim) bool {
+		if taken[p.claim.Key] {
 			return false // decided once the first one is written
 		}
-		taken[a.claim.Key] = true
-		s.writing = append(s.writing, a)
-		claims = append(claims, a.claim)
+		taken[p.claim.Key] = true
+		s.writing = append(s.writing, p)
+		claims = append(claims, p.claim)
 		return true
 	})
 	s.nextHead = head{Segment: segment, Claims: claims}
--- a/internal/claim/shard_test.go
+++ b/internal/claim/shard_test.go
@@ -111,10 +111,10 @@
 // caller is a request that needs its claim: it asks one owner, may ask another
 // one before the answer arrives, and finally runs or gives up.
 type caller struct {
-	claim   claim.Claim
-	lastAsk int64 // number of the only ask whose answer counts
-	asked   int   // number of owners asked so far
-	over    bool
+	claim       claim.Claim
+	lastNumber  int64 // number of the only claim whose answer counts
+	ownersTried int   // number of owners asked so far
+	over        bool
 }
 
 // race is two concurrent owners of one shard with their callers.
@@ -130,27 +130,27 @@
 	ran      map[claim.Key]string
 }
 
-func (r *race) ask(c *caller, o *owner) {
+func (r *race) submit(c *caller, o *owner) {
 	r.number++
 	r.byNumber[r.number] = c
-	c.lastAsk = r.number
-	c.asked++
+	c.lastNumber = r.number
+	c.ownersTried++
 	o.addEffects(o.shard.Submit(r.now, r.number, c.claim, r.now.Add(500*time.Millisecond)))
 }
 
 // check acts on an owner's replies as an entry does: only the answer to the
-// last ask counts, a granted request runs, and one whose claim was unavailable
+// last claim counts, a granted request runs, and one whose claim was unavailable
 // gives up and abandons it.
 func (r *race) check(o *owner) {
 	replies := o.replies
 	o.replies = nil
 	for _, reply := range replies {
 		if r.answered[reply.Number] {
-			r.Fatalf("ask %d answered twice", reply.Number)
+			r.Fatalf("claim %d answered twice", reply.Number)
 		}
 		r.answered[reply.Number] = true
 		c := r.byNumber[reply.Number]
-		if c.over || c.lastAsk != reply.Number {
+		if c.over || c.lastNumber != reply.Number {
 			continue
 		}
 		switch reply.Result.Decision {
@@ -170,7 +170,7 @@
 // TestKeyIsGrantedAtMostOnce runs two concurrent owners of one shard through
 // random crashes, pauses and lost answers, with claims on few keys and callers
 // that may ask the other owner before the first one replies. No key may be
-// granted to two requests, and no ask may be answered twice.
+// granted to two requests, and no claim may be answered twice.
 func TestKeyIsGrantedAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := &race{
@@ -186,19 +186,19 @@
 					Request: fmt.Sprint(len(r.callers)), ExpiresAt: r.now + 1e9,
 				}}
 				r.callers = append(r.callers, c)
-				r.ask(c, o)
+				r.submit(c, o)
 			case 3, 4, 5, 6:
 				o.completeCall(r.store, r.now, outcome(rapid.IntRange(0, 2).Draw(t, "fate")))
 			case 7, 8:
 				r.now = r.now.Add(time.Duration(rapid.IntRange(1, 300).Draw(t, "pause")) * time.Millisecond)
 				o.addEffects(o.shard.Tick(r.now))
 			case 9:
-				*o = *newOwner() // a crash, which loses the waiting asks
+				*o = *newOwner() // a crash, which loses the waiting claims
 			default:
 				if n := len(r.callers); n > 0 {
 					c := r.callers[rapid.IntRange(0, n-1).Draw(t, "impatient")]
-					if !c.over && c.asked == 1 {
-						r.ask(c, o)
+					if !c.over && c.ownersTried == 1 {
+						r.submit(c, o)
 					}
 				}
 			}
@@ -240,18 +240,18 @@
 func TestSegmentWrittenHeadRejected(t *testing.T) {
 	c := qt.New(t)
 	s, o, now := newStore(), newOwner(), clock.Millis(1000)
-	ask := func(i int64) {
+	submit := func(i int64) {
 		now = now.Add(interval)
 		o.addEffects(o.shard.Submit(now, i, claim.Claim{Key: claim.NewKey("w", fmt.Sprint(i)), Request: "r", ExpiresAt: now + 1e9}, now+10_000))
 	}
 	const full = 512
 	for i := range int64(full) {
-		ask(i)
+		submit(i)
 		for len(o.pending) > 0 {
 			o.completeCall(s, now, succeeded)
 		}
 	}
-	ask(full)
+	submit(full)
 	o.completeCall(s, now, headRejected)
 	for range 6 {
 		now = now.Add(interval)
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -77,10 +77,10 @@
 
 // Register adds the handlers for claims from other processes.
 func (l *Ledger) Register(r *message.Router) {
-	peer.HandleCall(r, l.transport, topicClaim, func(ctx context.Context, _ peer.Sender, q claimRequest) claim.Result {
-		ctx, cancel := context.WithTimeout(ctx, q.Wait)
+	peer.HandleCall(r, l.transport, topicClaim, func(ctx context.Context, _ peer.Sender, req claimRequest) claim.Result {
+		ctx, cancel := context.WithTimeout(ctx, req.Wait)
 		defer cancel()
-		return l.claimLocal(ctx, q.Claim, q.Wait)
+		return l.claimLocal(ctx, req.Claim, req.Wait)
 	})
 	peer.Handle(r, l.transport, topicAbandon, func(_ peer.Sender, a abandonRequest) { l.abandonLocal(a) })
 }
@@ -88,13 +88,13 @@
 // Run advances the shards until ctx ends.
 func (l *Ledger) Run(ctx context.Context) {
 	l.ticker.Run(ctx, func() (busy bool) {
-		for _, r := range l.localShards() {
-			l.apply(r, func(now clock.Millis) []claim.Effect {
-				if r.shard.Idle() {
+		for _, s := range l.localShards() {
+			l.apply(s, func(now clock.Millis) []claim.Effect {
+				if s.shard.Idle() {
 					return nil
 				}
 				busy = true
-				return r.shard.Tick(now)
+				return s.shard.Tick(now)
 			})
 		}
 		return busy
@@ -105,8 +105,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	all := make([]*localShard, 0, len(l.shards))
-	for _, r := range l.shards {
-		all = append(all, r)
+	for _, s := range l.shards {
+		all = append(all, s)
 	}
 	return all
 }
@@ -157,19 +157,19 @@
 }
 
 func (l *Ledger) abandonLocal(a abandonRequest) {
-	r := l.shard(a.Key)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.shard.Abandon(a.Key, a.Request)
+	s := l.shard(a.Key)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.shard.Abandon(a.Key, a.Request)
 }
 
 func (l *Ledger) claimLocal(ctx context.Context, c claim.Claim, wait time.Duration) claim.Result {
-	r := l.shard(c.Key)
+	s := l.shard(c.Key)
 	reply := make(chan claim.Result, 1)
-	l.apply(r, func(now clock.Millis) []claim.Effect {
-		r.lastID++
-		r.waiters[r.lastID] = reply
-		return r.shard.Submit(now, r.lastID, c, now.Add(wait))
+	l.apply(s, func(now clock.Millis) []claim.Effect {
+		s.lastID++
+		s.waiters[s.lastID] = reply
+		return s.shard.Submit(now, s.lastID, c, now.Add(wait))
 	})
 	l.ticker.Wake()
 	select {
@@ -185,31 +185,31 @@
 	number := k.Shard(l.options.Shards)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r, ok := l.shards[number]
+	s, ok := l.shards[number]
 	if !ok {
-		r = &localShard{shard: claim.NewShard(number, l.options.Interval), waiters: map[int64]chan claim.Result{}}
-		l.shards[number] = r
+		s = &localShard{shard: claim.NewShard(number, l.options.Interval), waiters: map[int64]chan claim.Result{}}
+		l.shards[number] = s
 	}
-	return r
+	return s
 }
 
 // apply runs a step of a shard under its lock and carries out the effects after
 // unlocking it.
-func (l *Ledger) apply(r *localShard, step func(clock.Millis) []claim.Effect) {
-	r.mu.Lock()
+func (l *Ledger) apply(s *localShard, step func(clock.Millis) []claim.Effect) {
+	s.mu.Lock()
 	effects := step(l.options.Now())
 	for _, e := range effects {
 		if reply, ok := e.(claim.Reply); ok {
-			l.reply(r, reply)
+			l.reply(s, reply)
 		}
 	}
-	r.mu.Unlock()
+	s.mu.Unlock()
 	for _, e := range effects {
 		switch e := e.(type) {
 		case claim.Load:
-			go l.load(r, e)
+			go l.load(s, e)
 		case claim.Write:
-			go l.write(r, e)
+			go l.write(s, e)
 		case claim.Delete:
 			go func() { _ = l.store.Delete(context.Background(), e.Key, e.Version) }()
 		}
@@ -218,23 +218,23 @@
 
 // reply delivers the only answer to a waiting caller. The caller of reply holds the
 // shard's lock.
-func (l *Ledger) reply(r *localShard, e claim.Reply) {
-	waiter, ok := r.waiters[e.Number]
+func (l *Ledger) reply(s *localShard, e claim.Reply) {
+	waiter, ok := s.waiters[e.Number]
 	if !ok {
 		l.scope.Counter("invariants_violated").Inc(1)
 		return
 	}
-	delete(r.waiters, e.Number)
+	delete(s.waiters, e.Number)
 	waiter <- e.Result
 }
 
-func (l *Ledger) load(r *localShard, e claim.Load) {
+func (l *Ledger) load(s *localShard, e claim.Load) {
 	var all []platform.Entry
 	after := ""
 	for {
 		page, err := l.store.List(context.Background(), e.Prefix, after, pageSize)
 		if err != nil {
-			l.apply(r, r.shard.Failed)
+			l.apply(s, s.shard.Failed)
 			return
 		}
 		all = append(all, page...)
@@ -243,22 +243,22 @@
 		}
 		after = page[len(page)-1].Key
 	}
-	l.apply(r, func(now clock.Millis) []claim.Effect { return r.shard.Loaded(now, all) })
+	l.apply(s, func(now clock.Millis) []claim.Effect { return s.shard.Loaded(now, all) })
 }
 
-func (l *Ledger) write(r *localShard, e claim.Write) {
+func (l *Ledger) write(s *localShard, e claim.Write) {
 	l.scope.Counter("claim_writes").Inc(1)
 	if e.Segment != "" {
 		_, err := l.store.Put(context.Background(), e.Segment, e.SegmentValue, 0)
 		if err != nil && !errors.Is(err, platform.ErrConflict) {
-			l.apply(r, r.shard.Failed)
+			l.apply(s, s.shard.Failed)
 			return
 		}
 	}
 	version, err := l.store.Put(context.Background(), e.Key, e.Value, e.Version)
 	if err != nil {
-		l.apply(r, r.shard.Failed)
+		l.apply(s, s.shard.Failed)
 		return
 	}
-	l.apply(r, func(now clock.Millis) []claim.Effect { return r.shard.Written(now, version) })
+	l.apply(s, func(now clock.Millis) []claim.Effect { return s.shard.Written(now, version) })
 }
