--- a/internal/catalog/class.go
+++ b/internal/catalog/class.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Class is a service class: the priority and latency targets of workspaces.
+// Class is a service class that workspaces pay for: a priority with latency
+// targets.
 type Class struct {
 	Rank  int           // lower ranks are served first, from 0
 	TTFT  time.Duration // target time to first token
--- a/internal/catalog/layout.go
+++ b/internal/catalog/layout.go
@@ -10,7 +10,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// targetCellSize bounds the average number of endpoints in the parts of a cell.
+// targetCellSize is the number of endpoints above which a cell is split. It
+// bounds the average number of endpoints in its parts.
 const targetCellSize = 48
 
 // Cell identifies the endpoints of one zone that serve one model or plain
--- a/internal/changelog/log.go
+++ b/internal/changelog/log.go
@@ -135,7 +135,7 @@
 
 // Submit stores a change as the next revision. Base is the revision on which the command
 // was based: if its aggregate has changed since, Submit stores nothing and returns
-// ErrRaced with the revision and operator of the other change.
+// ErrConflict with the revision and operator of the other change.
 func (l *Log) Submit(ctx context.Context, ch catalog.Change, base int64) (catalog.Change, error) {
 	delay := backoff.NewExponentialBackOff()
 	delay.InitialInterval, delay.MaxInterval = initialSubmitDelay, retryDelay
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -253,7 +253,7 @@
 	case cell.Cancel:
 		select {
 		case d.cancels <- e:
-		default: // the queue is full; the endpoint's next listing shows the attempt again
+		default: // the queue is full; the endpoint's next report shows the attempt again
 			d.scope.Counter("cancel_queue_full").Inc(1)
 		}
 	}
--- a/internal/dispatcher/reports.go
+++ b/internal/dispatcher/reports.go
@@ -11,7 +11,7 @@
 const (
 	// maxReportsPerSecond bounds how many reports per second are read from all
 	// endpoints of a cell, and minReportInterval is the minimum time between two
-	// reports of one endpoint. Neither applies to endpoints marked urgent.
+	// reports of one endpoint. Neither applies to endpoints with NeedsReport set.
 	maxReportsPerSecond = 20
 	minReportInterval   = time.Second
 )
--- a/internal/member/bench_test.go
+++ b/internal/member/bench_test.go
@@ -18,11 +18,11 @@
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, each := range []int{2, 25, 75} {
 		b.Run(fmt.Sprintf("%d members a zone", each), func(b *testing.B) {
-			w := newCluster(24, each)
-			own := w.tables[:each]
-			w.tables = append([]*member.Table{}, own...)
-			w.run(10 * time.Second)
-			table := w.tables[0]
+			cl := newCluster(24, each)
+			own := cl.tables[:each]
+			cl.tables = append([]*member.Table{}, own...)
+			cl.run(10 * time.Second)
+			table := cl.tables[0]
 			foreign := newCluster(24, 3)
 			h := member.Heartbeat{From: foreign.tables[0].Self()}
 			for i, f := range foreign.tables[3:] {
@@ -34,15 +34,15 @@
 				for s := range 9 {
 					name := catalog.Cell{Zone: fmt.Sprintf("z%d", z), Serves: fmt.Sprintf("model-%d", s)}
 					h.Cells = append(h.Cells, member.CellStatus{
-						Cell: name, Node: "n000", Address: table.Self().Address, Stamp: w.now,
+						Cell: name, Node: "n000", Address: table.Self().Address, Stamp: cl.now,
 						Headroom: cell.Headroom{Free: 100, Wait: time.Second},
 					})
 				}
 			}
-			table.Receive(w.now, h)
+			table.Receive(cl.now, h)
 			size := 0
 			for b.Loop() {
-				data, err := cbor.Marshal(table.NextHeartbeat(w.now, 1, nil))
+				data, err := cbor.Marshal(table.NextHeartbeat(cl.now, 1, nil))
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -50,7 +50,7 @@
 				if err := cbor.Unmarshal(data, &back); err != nil {
 					b.Fatal(err)
 				}
-				table.Receive(w.now, back)
+				table.Receive(cl.now, back)
 				size = len(data)
 			}
 			b.ReportMetric(float64(size), "B/heartbeat")
--- a/internal/member/heartbeat.go
+++ b/internal/member/heartbeat.go
@@ -9,9 +9,9 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// MemberBeat is the compact form of a member's beat counter. Mark is a hash of the
-// member's id and incarnation.
-type MemberBeat struct {
+// Beat is the compact form of a member's beat counter. IDHash is a hash of
+// the member's id and incarnation.
+type Beat struct {
 	_      struct{} `cbor:",toarray"`
 	IDHash uint32
 	Beat   int64
@@ -31,7 +31,7 @@
 	From    Member       `cbor:"1,keyasint"`
 	Members []Member     `cbor:"2,keyasint"` // a sample
 	Cells   []CellStatus `cbor:"3,keyasint"`
-	Beats   []MemberBeat `cbor:"4,keyasint"`
+	Beats   []Beat       `cbor:"4,keyasint"`
 }
 
 // NextHeartbeat returns the next heartbeat to send. own are the cells that this process
@@ -63,15 +63,15 @@
 
 // beats returns the beats of all members of the own zone and of a sample of the
 // other zones' members.
-func (t *Table) beats(rows []Member) []MemberBeat {
-	var all []MemberBeat
+func (t *Table) beats(rows []Member) []Beat {
+	var all []Beat
 	remote := 0
 	for _, m := range rows {
 		if m.Zone != t.self.Zone {
 			remote++
 		}
 		if m.Zone == t.self.Zone || remote <= maxRemoteBeats {
-			all = append(all, MemberBeat{IDHash: m.idHash(), Beat: m.Beat})
+			all = append(all, Beat{IDHash: m.idHash(), Beat: m.Beat})
 		}
 	}
 	return all
--- a/internal/member/table_test.go
+++ b/internal/member/table_test.go
@@ -29,55 +29,55 @@
 }
 
 func newCluster(zones, each int) *cluster {
-	t := &cluster{now: 1_000_000, frozen: map[int]bool{}, partitioned: map[string]bool{}}
+	c := &cluster{now: 1_000_000, frozen: map[int]bool{}, partitioned: map[string]bool{}}
 	for z := range zones {
 		for range each {
-			n := len(t.tables)
+			n := len(c.tables)
 			self := member.Member{
-				ID: fmt.Sprintf("n%03d", n), Zone: fmt.Sprintf("z%d", z), Incarnation: int64(t.now),
+				ID: fmt.Sprintf("n%03d", n), Zone: fmt.Sprintf("z%d", z), Incarnation: int64(c.now),
 				Address: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(n+1)),
 			}
-			t.tables = append(t.tables, member.NewTable(self, goneAfter, uint64(n)))
+			c.tables = append(c.tables, member.NewTable(self, goneAfter, uint64(n)))
 		}
 	}
-	return t
+	return c
 }
 
-func (t *cluster) send(from int, h member.Heartbeat, to netip.AddrPort) {
+func (c *cluster) send(from int, h member.Heartbeat, to netip.AddrPort) {
 	i := int(to.Port()) - 1
-	a, b := t.tables[from].Self().Zone, t.tables[i].Self().Zone
-	if t.frozen[i] || (a != b && (t.partitioned[a] || t.partitioned[b])) {
+	a, b := c.tables[from].Self().Zone, c.tables[i].Self().Zone
+	if c.frozen[i] || (a != b && (c.partitioned[a] || c.partitioned[b])) {
 		return
 	}
-	t.tables[i].Receive(t.now, h)
+	c.tables[i].Receive(c.now, h)
 }
 
 // run sends the heartbeats of all tables once per interval: to their targets
 // and, as to a seed address, to a random member.
-func (t *cluster) run(d time.Duration) {
+func (c *cluster) run(d time.Duration) {
 	random := rand.New(rand.NewPCG(1, 2))
-	for end := t.now.Add(d); t.now < end; t.now = t.now.Add(heartbeatInterval) {
-		for i, table := range t.tables {
-			if t.frozen[i] {
+	for end := c.now.Add(d); c.now < end; c.now = c.now.Add(heartbeatInterval) {
+		for i, table := range c.tables {
+			if c.frozen[i] {
 				continue
 			}
-			table.Expire(t.now)
-			h := table.NextHeartbeat(t.now, 1, nil)
+			table.Expire(c.now)
+			h := table.NextHeartbeat(c.now, 1, nil)
 			for _, to := range table.Targets(2) {
-				t.send(i, h, to)
+				c.send(i, h, to)
 			}
-			t.send(i, h, t.tables[random.IntN(len(t.tables))].Self().Address)
+			c.send(i, h, c.tables[random.IntN(len(c.tables))].Self().Address)
 		}
 	}
 }
 
 // dispatcherOf returns the dispatcher of a cell in the zone, and whether all
 // members that are not frozen choose the same one.
-func (t *cluster) dispatcherOf(zone string) (string, bool) {
+func (c *cluster) dispatcherOf(zone string) (string, bool) {
 	named := map[string]bool{}
 	last := ""
-	for i, table := range t.tables {
-		if table.Self().Zone != zone || t.frozen[i] {
+	for i, table := range c.tables {
+		if table.Self().Zone != zone || c.frozen[i] {
 			continue
 		}
 		m, _ := table.Dispatcher(catalog.Cell{Zone: zone, Serves: "m"})
@@ -92,25 +92,25 @@
 	for _, test := range tests {
 		t.Run(fmt.Sprintf("%d zones of %d", test.zones, test.each), func(t *testing.T) {
 			c := qt.New(t)
-			w := newCluster(test.zones, test.each)
-			w.run(20 * time.Second)
-			old, ok := w.dispatcherOf("z0")
+			cl := newCluster(test.zones, test.each)
+			cl.run(20 * time.Second)
+			old, ok := cl.dispatcherOf("z0")
 			c.Assert(ok, qt.IsTrue)
-			c.Assert(len(w.tables[0].Live()), qt.Equals, test.each+(test.zones-1)*min(test.each, 3))
+			c.Assert(len(cl.tables[0].Live()), qt.Equals, test.each+(test.zones-1)*min(test.each, 3))
 
-			for i, table := range w.tables {
+			for i, table := range cl.tables {
 				if table.Self().ID == old {
-					w.frozen[i] = true // it is paused with its old view
+					cl.frozen[i] = true // it is paused with its old view
 				}
 			}
-			w.run(goneAfter + 3*time.Second)
-			fresh, ok := w.dispatcherOf("z0")
+			cl.run(goneAfter + 3*time.Second)
+			fresh, ok := cl.dispatcherOf("z0")
 			c.Assert(ok, qt.IsTrue)
 			c.Assert(fresh, qt.Not(qt.Equals), old)
 
-			clear(w.frozen) // it resumes and dispatches its cells again
-			w.run(8 * time.Second)
-			back, ok := w.dispatcherOf("z0")
+			clear(cl.frozen) // it resumes and dispatches its cells again
+			cl.run(8 * time.Second)
+			back, ok := cl.dispatcherOf("z0")
 			c.Assert(ok, qt.IsTrue)
 			c.Assert(back, qt.Equals, old)
 		})
@@ -120,11 +120,11 @@
 // TestClaimOwner checks that the members of all zones choose the same owner.
 func TestClaimOwner(t *testing.T) {
 	c := qt.New(t)
-	w := newCluster(3, 12)
-	w.run(30 * time.Second)
+	cl := newCluster(3, 12)
+	cl.run(30 * time.Second)
 	for shard := range 32 {
 		owners := map[string]bool{}
-		for _, table := range w.tables {
+		for _, table := range cl.tables {
 			m, ok := table.ClaimOwner(fmt.Sprint(shard))
 			c.Assert(ok, qt.IsTrue)
 			owners[m.ID] = true
@@ -137,39 +137,39 @@
 // members and finds the contacts of the other zones after the partition.
 func TestPartitionedZoneRejoins(t *testing.T) {
 	c := qt.New(t)
-	w := newCluster(3, 4)
-	w.run(20 * time.Second)
-	w.partitioned["z1"] = true
-	w.run(time.Minute)
-	c.Assert(w.tables[4].Live(), qt.HasLen, 4)
-	_, ok := w.dispatcherOf("z1")
+	cl := newCluster(3, 4)
+	cl.run(20 * time.Second)
+	cl.partitioned["z1"] = true
+	cl.run(time.Minute)
+	c.Assert(cl.tables[4].Live(), qt.HasLen, 4)
+	_, ok := cl.dispatcherOf("z1")
 	c.Assert(ok, qt.IsTrue)
-	clear(w.partitioned)
-	w.run(30 * time.Second)
-	c.Assert(w.tables[4].Live(), qt.HasLen, 4+2*3)
+	clear(cl.partitioned)
+	cl.run(30 * time.Second)
+	c.Assert(cl.tables[4].Live(), qt.HasLen, 4+2*3)
 }
 
 // TestLeavingMemberGivesUpRoles checks that a leaving member gives up its roles
 // at once, but keeps them while no other member stays.
 func TestLeavingMemberGivesUpRoles(t *testing.T) {
 	c := qt.New(t)
-	w := newCluster(1, 2)
-	w.run(10 * time.Second)
-	old, _ := w.dispatcherOf("z0")
-	for _, table := range w.tables {
+	cl := newCluster(1, 2)
+	cl.run(10 * time.Second)
+	old, _ := cl.dispatcherOf("z0")
+	for _, table := range cl.tables {
 		if table.Self().ID == old {
 			table.Leave()
 		}
 	}
-	w.run(heartbeatInterval)
-	w.run(heartbeatInterval)
-	fresh, ok := w.dispatcherOf("z0")
+	cl.run(heartbeatInterval)
+	cl.run(heartbeatInterval)
+	fresh, ok := cl.dispatcherOf("z0")
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(fresh, qt.Not(qt.Equals), old)
-	for _, table := range w.tables {
+	for _, table := range cl.tables {
 		table.Leave()
 	}
-	w.run(2 * heartbeatInterval)
-	_, ok = w.dispatcherOf("z0")
+	cl.run(2 * heartbeatInterval)
+	_, ok = cl.dispatcherOf("z0")
 	c.Assert(ok, qt.IsTrue)
 }
--- a/internal/metering/metering.go
+++ b/internal/metering/metering.go
@@ -108,8 +108,8 @@
 	sumsSentAt       clock.Millis
 	statusReceivedAt clock.Millis // from another ledger of the zone
 	// reporters are sent statuses. They include instances whose entry in the store has
-	// lapsed, for example because the store rejects them, and which are in no roster
-	// therefore.
+	// lapsed, for example because the store rejects them, and which are therefore in no
+	// roster.
 	reporters map[string]reporter
 	throttled map[string]float64 // workspaces that were last logged as held back
 }
