--- a/internal/caller/front.go
+++ b/internal/caller/api.go
@@ -49,12 +49,12 @@
 }
 
 // Handler returns the handler of all routes.
-func (f *API) Handler() http.Handler {
+func (a *API) Handler() http.Handler {
 	r := chi.NewRouter()
-	r.Post("/v1/completions", f.completions)
-	r.Post("/v1/chat/completions", f.chat)
-	r.HandleFunc("/v1/services/{name}/*", f.service)
-	r.HandleFunc("/v1/services/{name}", f.service)
+	r.Post("/v1/completions", a.completions)
+	r.Post("/v1/chat/completions", a.chat)
+	r.HandleFunc("/v1/services/{name}/*", a.service)
+	r.HandleFunc("/v1/services/{name}", a.service)
 	r.NotFound(func(w http.ResponseWriter, r *http.Request) {
 		newProblem(http.StatusNotFound, "not_found", "path", "There is nothing at "+r.URL.Path+".").write(w)
 	})
@@ -65,10 +65,10 @@
 }
 
 // readRequest authenticates the caller and reads the body.
-func (f *API) readRequest(w http.ResponseWriter, r *http.Request) (entry.Request, []byte, *problem) {
-	req := entry.Request{ID: uuid.NewString(), Arrived: f.now(), Key: r.Header.Get(headerKey)}
+func (a *API) readRequest(w http.ResponseWriter, r *http.Request) (entry.Request, []byte, *problem) {
+	req := entry.Request{ID: uuid.NewString(), Arrived: a.now(), Key: r.Header.Get(headerKey)}
 	w.Header().Set(headerRequest, req.ID)
-	if !f.ready() {
+	if !a.ready() {
 		p := newProblem(http.StatusServiceUnavailable, "not_ready", "", "This process has no configuration yet.")
 		p.RetryAfter = notReadyRetry.Milliseconds()
 		w.Header().Set(headerNotReady, "1")
@@ -76,11 +76,11 @@
 	}
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	sum := sha256.Sum256([]byte(key))
-	req.Workspace, _ = f.catalog().WorkspaceOf(hex.EncodeToString(sum[:]))
+	req.Workspace, _ = a.catalog().WorkspaceOf(hex.EncodeToString(sum[:]))
 	if !ok || req.Workspace == "" {
 		return req, nil, newProblem(http.StatusUnauthorized, "unknown_key", "Authorization", "A known bearer key must be given.")
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(f.settings.BodyLimit)))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(a.settings.BodyLimit)))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		return req, nil, newProblem(http.StatusRequestEntityTooLarge, "body_too_large", "body", "The body is over the limit.")
@@ -94,8 +94,8 @@
 
 // checkKind checks that the kind exists, that the model or service serves it and that
 // the idempotency key is present if the kind requires one.
-func (f *API) checkKind(req *entry.Request, name, serves, field string) *problem {
-	kind, ok := f.catalog().Kinds[name]
+func (a *API) checkKind(req *entry.Request, name, serves, field string) *problem {
+	kind, ok := a.catalog().Kinds[name]
 	if !ok {
 		return newProblem(http.StatusBadRequest, "unknown_kind", headerKind, "The kind "+quoted(name)+" does not exist.")
 	}
--- a/internal/caller/completions.go
+++ b/internal/caller/completions.go
@@ -48,12 +48,12 @@
 	chatFormat = objectFormat{object: "chat.completion", chunk: "chat.completion.chunk", chat: true}
 )
 
-func (f *API) completions(w http.ResponseWriter, r *http.Request) { f.complete(w, r, textFormat) }
+func (a *API) completions(w http.ResponseWriter, r *http.Request) { a.complete(w, r, textFormat) }
 
-func (f *API) chat(w http.ResponseWriter, r *http.Request) { f.complete(w, r, chatFormat) }
+func (a *API) chat(w http.ResponseWriter, r *http.Request) { a.complete(w, r, chatFormat) }
 
-func (f *API) complete(w http.ResponseWriter, r *http.Request, format objectFormat) {
-	req, body, p := f.readRequest(w, r)
+func (a *API) complete(w http.ResponseWriter, r *http.Request, format objectFormat) {
+	req, body, p := a.readRequest(w, r)
 	if p != nil {
 		p.write(w)
 		return
@@ -63,23 +63,23 @@
 		newProblem(http.StatusBadRequest, "malformed_json", "body", err.Error()).write(w)
 		return
 	}
-	if p := f.parseCompletion(&req, &c, r.Header.Get(headerKind), format); p != nil {
+	if p := a.parseCompletion(&req, &c, r.Header.Get(headerKind), format); p != nil {
 		p.write(w)
 		return
 	}
-	out := &completionWriter{front: f, w: w, format: format, id: req.ID, model: c.Model, stream: c.Stream}
-	f.respond(r.Context(), req, out)
+	out := &completionWriter{api: a, w: w, format: format, id: req.ID, model: c.Model, stream: c.Stream}
+	a.respond(r.Context(), req, out)
 }
 
 // parseCompletion validates a completion request and fills in the model fields of req.
-func (f *API) parseCompletion(req *entry.Request, c *completionRequest, kind string, format objectFormat) *problem {
+func (a *API) parseCompletion(req *entry.Request, c *completionRequest, kind string, format objectFormat) *problem {
 	if kind == "" {
 		kind = c.Kind
 	}
-	if !f.isServed(c.Model) {
+	if !a.isServed(c.Model) {
 		return newProblem(http.StatusNotFound, "unknown_model", "model", "The model "+quoted(c.Model)+" does not exist.")
 	}
-	if p := f.checkKind(req, kind, c.Model, "model"); p != nil {
+	if p := a.checkKind(req, kind, c.Model, "model"); p != nil {
 		return p
 	}
 	req.Prompt = c.Prompt
@@ -94,14 +94,14 @@
 		return newProblem(http.StatusBadRequest, "empty_prompt", field, "The prompt must not be empty.")
 	}
 	req.Tokens = (len(req.Prompt) + bytesPerToken - 1) / bytesPerToken
-	if req.Tokens > f.settings.PromptLimit {
+	if req.Tokens > a.settings.PromptLimit {
 		return newProblem(http.StatusBadRequest, "prompt_too_long", "prompt", "The prompt is over the limit.")
 	}
-	req.MaxTokens = min(defaultMaxTokens, f.settings.AnswerLimit)
+	req.MaxTokens = min(defaultMaxTokens, a.settings.AnswerLimit)
 	if c.MaxTokens != nil {
 		req.MaxTokens = *c.MaxTokens
 	}
-	if req.MaxTokens < 1 || req.MaxTokens > f.settings.AnswerLimit {
+	if req.MaxTokens < 1 || req.MaxTokens > a.settings.AnswerLimit {
 		return newProblem(http.StatusBadRequest, "max_tokens_out_of_range", "max_tokens", "The answer's length must be positive and within the limit.")
 	}
 	req.Blocks = prefixBlocks(req.Workspace, req.Prompt)
@@ -117,8 +117,8 @@
 }
 
 // isServed reports whether any kind is served by the model or plain service of a name.
-func (f *API) isServed(name string) bool {
-	for _, k := range f.catalog().Kinds {
+func (a *API) isServed(name string) bool {
+	for _, k := range a.catalog().Kinds {
 		if k.Serves == name {
 			return true
 		}
@@ -143,10 +143,10 @@
 
 // respond runs the request and writes the answer. The answer of a request that may not
 // be repeated is kept for callers that send the same key again.
-func (f *API) respond(ctx context.Context, req entry.Request, out *completionWriter) {
-	end := f.entry.KeepAnswer(req.ID, req.Kind)
+func (a *API) respond(ctx context.Context, req entry.Request, out *completionWriter) {
+	end := a.entry.KeepAnswer(req.ID, req.Kind)
 	var text strings.Builder
-	o := f.entry.Complete(ctx, req, func(t endpoint.Token) error {
+	o := a.entry.Complete(ctx, req, func(t endpoint.Token) error {
 		if t.Done {
 			return nil
 		}
@@ -155,7 +155,7 @@
 	})
 	end(endpoint.Response{Status: http.StatusOK, Body: []byte(text.String())}, o.Result == entry.Answered)
 	if o.EarlierClaim != nil {
-		if kept, ok := f.entry.KeptAnswer(ctx, *o.EarlierClaim); ok {
+		if kept, ok := a.entry.KeptAnswer(ctx, *o.EarlierClaim); ok {
 			_ = out.writeToken(string(kept.Body))
 			o = entry.Outcome{Result: entry.Answered}
 		}
--- a/internal/caller/service.go
+++ b/internal/caller/service.go
@@ -17,18 +17,18 @@
 }
 
 // service forwards a request to a plain service and writes its answer.
-func (f *API) service(w http.ResponseWriter, r *http.Request) {
-	req, body, p := f.readRequest(w, r)
+func (a *API) service(w http.ResponseWriter, r *http.Request) {
+	req, body, p := a.readRequest(w, r)
 	if p != nil {
 		p.write(w)
 		return
 	}
 	name := chi.URLParam(r, "name")
-	if !f.isServed(name) {
+	if !a.isServed(name) {
 		newProblem(http.StatusNotFound, "unknown_service", "path", "The service "+quoted(name)+" does not exist.").write(w)
 		return
 	}
-	if p := f.checkKind(&req, r.Header.Get(headerKind), name, "path"); p != nil {
+	if p := a.checkKind(&req, r.Header.Get(headerKind), name, "path"); p != nil {
 		p.write(w)
 		return
 	}
@@ -37,11 +37,11 @@
 	if r.URL.RawQuery != "" {
 		req.Path += "?" + r.URL.RawQuery
 	}
-	end := f.entry.KeepAnswer(req.ID, req.Kind)
-	answer, o := f.entry.Call(r.Context(), req)
+	end := a.entry.KeepAnswer(req.ID, req.Kind)
+	answer, o := a.entry.Call(r.Context(), req)
 	end(answer, o.Result == entry.Answered)
 	if o.EarlierClaim != nil {
-		if kept, ok := f.entry.KeptAnswer(r.Context(), *o.EarlierClaim); ok {
+		if kept, ok := a.entry.KeptAnswer(r.Context(), *o.EarlierClaim); ok {
 			answer, o = kept, entry.Outcome{Result: entry.Answered}
 		}
 	}
--- a/internal/caller/writer.go
+++ b/internal/caller/writer.go
@@ -12,7 +12,7 @@
 // server-sent events. It writes nothing before the first token, so that an earlier
 // failure can still set the status code.
 type completionWriter struct {
-	front   *API
+	api     *API
 	w       http.ResponseWriter
 	format  objectFormat
 	id      string
@@ -69,7 +69,7 @@
 	default:
 		c.Text = &text
 	}
-	created := cw.front.now().Time().Unix()
+	created := cw.api.now().Time().Unix()
 	return completion{ID: cw.id, Object: object, Created: created, Model: cw.model, Choices: []choice{c}}
 }
 
--- a/internal/entry/admit.go
+++ b/internal/entry/admit.go
@@ -76,7 +76,7 @@
 
 func (e *Entry) newAttempt(ctx context.Context, r *request, to candidate, id cell.AttemptID) *attempt {
 	a := &attempt{tbt: r.class.TBT, answer: make(chan any, 4)}
-	a.ask = cell.AttemptRequest{
+	a.request = cell.AttemptRequest{
 		Cell: to.cell, Attempt: id, Request: r.ID, Owner: e.options.Owner, Workspace: r.Workspace,
 		Kind: r.Kind, Class: r.workspace.Class, Tokens: r.Tokens, Blocks: r.Blocks,
 		MaxTokens: r.MaxTokens, Budget: r.remaining(), Avoid: slices.Concat(r.avoid, e.unavailableEndpoints()), Retry: r.possibleRuns > 0,
@@ -105,14 +105,14 @@
 // endAttempt removes an attempt and cancels its context. Messages that arrive for
 // it later are ignored.
 func (e *Entry) endAttempt(a *attempt) {
-	e.attempts.remove(a.ask.Attempt)
+	e.attempts.remove(a.request.Attempt)
 	a.cancel(nil)
 }
 
-// requestGrant sends the ask to the dispatcher and waits for the answer. The result
-// Answered means that the attempt was granted.
+// requestGrant sends the attempt's request to the dispatcher and waits for the answer.
+// The result Answered means that the attempt was granted.
 func (e *Entry) requestGrant(ctx context.Context, r *request, a *attempt, to candidate) Outcome {
-	e.send(to.address, dispatcher.TopicAsk, a.ask)
+	e.send(to.address, dispatcher.TopicAsk, a.request)
 	timer := time.NewTimer(max(r.remaining(), 0) + answerSlack)
 	defer timer.Stop()
 	for {
@@ -126,9 +126,9 @@
 					return refused(answer.Reason, answer.RetryAfter)
 				}
 				time.Sleep(movedRetryDelay)
-				e.resendAsk(r, a, to)
+				e.resendRequest(r, a, to)
 			case cell.UnknownAttempts:
-				e.resendAsk(r, a, to)
+				e.resendRequest(r, a, to)
 			}
 		case <-ctx.Done():
 			e.reportProgress(a, cell.Progress{Phase: cell.Withdrawn})
@@ -140,11 +140,11 @@
 	}
 }
 
-// resendAsk sends the ask again, with the remaining budget, to the current
-// dispatcher of the cell.
-func (e *Entry) resendAsk(r *request, a *attempt, to candidate) {
-	a.ask.Budget = r.remaining()
+// resendRequest sends the attempt's request again, with the remaining budget, to the
+// current dispatcher of the cell.
+func (e *Entry) resendRequest(r *request, a *attempt, to candidate) {
+	a.request.Budget = r.remaining()
 	if address, ok := e.address(to.cell); ok {
-		e.send(address, dispatcher.TopicAsk, a.ask)
+		e.send(address, dispatcher.TopicAsk, a.request)
 	}
 }
--- a/internal/entry/held.go
+++ b/internal/entry/answers.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	topicHeld         = "entry.held"
-	heldAnswerTimeout = 5 * time.Second // how long a repeated request waits for a running one
+	topicAnswer   = "entry.held"
+	answerTimeout = 5 * time.Second // how long a repeated request waits for a running one
 )
 
 // answerStore keeps the answers of requests that may not be repeated. A caller that
@@ -21,37 +21,37 @@
 type answerStore struct {
 	mu         sync.Mutex
 	limit      int
-	all        map[string]*heldAnswer
+	all        map[string]*keptAnswer
 	requestIDs []string // keys of all, oldest first
 }
 
-// heldAnswer is the answer of one request. It is complete once done is closed.
-type heldAnswer struct {
+// keptAnswer is the answer of one request. It is complete once done is closed.
+type keptAnswer struct {
 	done   chan struct{}
 	answer endpoint.Response
 	ok     bool
 }
 
-// heldRequest asks another entry for the answer of a request that it ran.
-type heldRequest struct {
+// answerRequest asks another entry for the answer of a request that it ran.
+type answerRequest struct {
 	Request string `cbor:"1,keyasint"`
 }
 
-// heldResponse contains the answer if OK is set.
-type heldResponse struct {
+// answerResponse contains the answer if OK is set.
+type answerResponse struct {
 	OK     bool              `cbor:"1,keyasint"`
 	Answer endpoint.Response `cbor:"2,keyasint"`
 }
 
 func newAnswerStore(limit int) *answerStore {
-	return &answerStore{limit: limit, all: map[string]*heldAnswer{}}
+	return &answerStore{limit: limit, all: map[string]*keptAnswer{}}
 }
 
 // begin adds an answer to be completed and evicts the oldest ones beyond the limit.
-func (s *answerStore) begin(request string) *heldAnswer {
+func (s *answerStore) begin(request string) *keptAnswer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a := &heldAnswer{done: make(chan struct{})}
+	a := &keptAnswer{done: make(chan struct{})}
 	s.all[request] = a
 	s.requestIDs = append(s.requestIDs, request)
 	for len(s.requestIDs) > s.limit {
@@ -61,53 +61,54 @@
 	return a
 }
 
-func (a *heldAnswer) end(answer endpoint.Response, ok bool) {
+func (a *keptAnswer) end(answer endpoint.Response, ok bool) {
 	a.answer, a.ok = answer, ok
 	close(a.done)
 }
 
-func (s *answerStore) find(request string) *heldAnswer {
+func (s *answerStore) find(request string) *keptAnswer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.all[request]
 }
 
-// localHeldAnswer returns the answer of a request that this entry ran. It waits for
+// localKeptAnswer returns the answer of a request that this entry ran. It waits for
 // up to heldAnswerTimeout while the request is running.
-func (e *Entry) localHeldAnswer(ctx context.Context, _ peer.Sender, req heldRequest) heldResponse {
-	a := e.held.find(req.Request)
+func (e *Entry) localKeptAnswer(ctx context.Context, _ peer.Sender, req answerRequest) answerResponse {
+	a := e.answers.find(req.Request)
 	if a == nil {
-		return heldResponse{}
+		return answerResponse{}
 	}
-	ctx, cancel := context.WithTimeout(ctx, heldAnswerTimeout)
+	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
 	select {
 	case <-a.done:
-		return heldResponse{OK: a.ok, Answer: a.answer}
+		return answerResponse{OK: a.ok, Answer: a.answer}
 	case <-ctx.Done():
-		return heldResponse{}
+		return answerResponse{}
 	}
 }
 
-// KeepAnswer prepares to keep the answer of a request if its kind may not be repeated. The
-// caller must call end once, with the answer and whether there is one.
+// KeepAnswer prepares to keep the answer of a request if its kind may not be repeated.
+// The caller must call end once, with the answer and whether there is one.
 func (e *Entry) KeepAnswer(request, kind string) (end func(answer endpoint.Response, ok bool)) {
 	if k, ok := e.options.Catalog().Kinds[kind]; !ok || k.Repeat == catalog.RepeatAllowed {
 		return func(endpoint.Response, bool) {}
 	}
-	return e.held.begin(request).end
+	return e.answers.begin(request).end
 }
 
-// KeptAnswer returns the answer of the request that owns a claim, from the entry that ran it.
+// KeptAnswer returns the answer of the request that owns a claim, from the entry that
+// ran it.
 func (e *Entry) KeptAnswer(ctx context.Context, c claim.Claim) (endpoint.Response, bool) {
-	ctx, cancel := context.WithTimeout(ctx, heldAnswerTimeout)
+	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
-	req := heldRequest{Request: c.Request}
+	req := answerRequest{Request: c.Request}
 	if c.Holder == e.options.Owner.Address {
-		r := e.localHeldAnswer(ctx, peer.Sender{}, req)
+		r := e.localKeptAnswer(ctx, peer.Sender{}, req)
 		return r.Answer, r.OK
 	}
-	r, err := peer.Call[heldRequest, heldResponse](ctx, e.transport, c.Holder, topicHeld, req)
+	r, err := peer.Call[answerRequest, answerResponse](ctx, e.transport, c.Holder, topicAnswer, req)
 	if err != nil {
 		return endpoint.Response{}, false
 	}
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -11,14 +11,15 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// attempt is one attempt at running a request, from the ask to its end.
+// attempt is one attempt at running a request, from the request for a grant to
+// its end.
 type attempt struct {
-	ask    cell.AttemptRequest
-	tbt    time.Duration
-	answer chan any // cell.Grant, cell.Refusal or cell.Unknown
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	ran    bool // an endpoint has computed a part of it
+	request cell.AttemptRequest
+	tbt     time.Duration
+	answer  chan any // cell.Grant, cell.Refusal or cell.UnknownAttempts
+	ctx     context.Context
+	cancel  context.CancelCauseFunc
+	ran     bool // an endpoint has computed a part of it
 
 	mu      sync.Mutex
 	granted bool
@@ -31,8 +32,8 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return cell.AnnouncedAttempt{
-		Attempt: a.ask.Attempt, Phase: a.phase, Prefill: a.grant.Prefill, Decode: a.grant.Decode,
-		Workspace: a.ask.Workspace, Kind: a.ask.Kind, Tokens: a.ask.Tokens, TBT: a.tbt,
+		Attempt: a.request.Attempt, Phase: a.phase, Prefill: a.grant.Prefill, Decode: a.grant.Decode,
+		Workspace: a.request.Workspace, Kind: a.request.Kind, Tokens: a.request.Tokens, TBT: a.tbt,
 	}, a.granted
 }
 
@@ -64,8 +65,8 @@
 func (as *attempts) add(a *attempt, now clock.Millis) {
 	as.mu.Lock()
 	defer as.mu.Unlock()
-	as.all[a.ask.Attempt] = a
-	as.lastUsed[a.ask.Cell] = now
+	as.all[a.request.Attempt] = a
+	as.lastUsed[a.request.Cell] = now
 }
 
 func (as *attempts) remove(id cell.AttemptID) {
@@ -103,11 +104,11 @@
 		byCell[name] = &cell.Announcement{Cell: name, Owner: owner}
 	}
 	for _, a := range as.all {
-		as.lastUsed[a.ask.Cell] = now
-		announcement, ok := byCell[a.ask.Cell]
+		as.lastUsed[a.request.Cell] = now
+		announcement, ok := byCell[a.request.Cell]
 		if !ok {
-			announcement = &cell.Announcement{Cell: a.ask.Cell, Owner: owner}
-			byCell[a.ask.Cell] = announcement
+			announcement = &cell.Announcement{Cell: a.request.Cell, Owner: owner}
+			byCell[a.request.Cell] = announcement
 		}
 		run, granted := a.running()
 		switch {
@@ -115,7 +116,7 @@
 		case granted:
 			announcement.Running = append(announcement.Running, run)
 		default:
-			announcement.Waiting = append(announcement.Waiting, a.ask.Attempt)
+			announcement.Waiting = append(announcement.Waiting, a.request.Attempt)
 		}
 	}
 	all := make([]cell.Announcement, 0, len(byCell))
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -67,7 +67,7 @@
 	client        *endpoint.Client
 	scope         tally.Scope
 	attempts      *attempts
-	held          *answerStore
+	answers       *answerStore
 	lastAnnounced atomic.Int64 // clock.Millis of the last announcement
 	running       sync.Map     // number of running requests by workspace, as *atomic.Int64
 }
@@ -76,7 +76,7 @@
 func New(o Options, t *peer.Transport, c *endpoint.Client, scope tally.Scope) *Entry {
 	e := &Entry{
 		options: o, transport: t, client: c, scope: scope,
-		attempts: newAttempts(), held: newAnswerStore(o.MaxHeldAnswers),
+		attempts: newAttempts(), answers: newAnswerStore(o.MaxHeldAnswers),
 	}
 	e.lastAnnounced.Store(int64(o.Now()))
 	return e
@@ -86,7 +86,7 @@
 func (e *Entry) AttemptCount() int { return e.attempts.count() }
 
 // Register adds the handlers for messages from dispatchers and for requests of other
-// entries for held answers.
+// entries for kept answers.
 func (e *Entry) Register(r *message.Router) {
 	peer.Handle(r, e.transport, dispatcher.TopicGrant, func(_ peer.Sender, g cell.Grant) {
 		a := e.attempts.find(g.Attempt)
@@ -114,7 +114,7 @@
 			a.cancel(errFenced)
 		}
 	})
-	peer.HandleCall(r, e.transport, topicHeld, e.localHeldAnswer)
+	peer.HandleCall(r, e.transport, topicAnswer, e.localKeptAnswer)
 }
 
 // Run announces the attempts to their dispatchers at an interval until ctx ends.
@@ -157,9 +157,9 @@
 
 // reportProgress sets the phase of an attempt and reports it to the dispatcher.
 func (e *Entry) reportProgress(a *attempt, p cell.Progress) {
-	p.Cell, p.Attempt = a.ask.Cell, a.ask.Attempt
+	p.Cell, p.Attempt = a.request.Cell, a.request.Attempt
 	a.setPhase(p.Phase)
-	if to, ok := e.address(a.ask.Cell); ok {
+	if to, ok := e.address(a.request.Cell); ok {
 		e.send(to, dispatcher.TopicProgress, p)
 	}
 }
--- a/internal/entry/outcome.go
+++ b/internal/entry/outcome.go
@@ -38,7 +38,7 @@
 	reasonFenced           = "entry_was_silent"
 	reasonLeaving          = "leaving"
 	reasonLimit            = "workspace_limit"
-	reasonQuarantined      = "ends_endpoints"
+	reasonHeld             = "ends_endpoints"
 )
 
 const defaultRetryAfter = time.Second
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -53,8 +53,8 @@
 // attemptFunc executes a granted attempt.
 type attemptFunc func(context.Context, *request, *attempt) error
 
-// serve checks the workspace's limit and the quarantine, runs the request and counts
-// its outcome.
+// serve checks the workspace's limit and whether the request is held, runs the request
+// and counts its outcome.
 func (e *Entry) serve(ctx context.Context, req Request, run attemptFunc) Outcome {
 	now := e.options.Catalog()
 	r := &request{Request: req, now: e.options.Now, kind: now.Kinds[req.Kind], workspace: now.Workspaces[req.Workspace]}
@@ -65,7 +65,7 @@
 	}
 	defer done()
 	if e.options.Suspects.Holds(r.work()) {
-		return e.recordOutcome(r, refused(reasonQuarantined, quarantineRetryAfter))
+		return e.recordOutcome(r, refused(reasonHeld, heldRetryAfter))
 	}
 	o := e.runWithRetries(ctx, r, run)
 	e.abandonIfNotRun(r, o)
@@ -141,7 +141,8 @@
 		e.reportProgress(a, cell.Progress{Phase: cell.Withdrawn})
 		return endpointError(endpoint.ErrMayHaveRun, cause)
 	}
-	if errors.Is(err, errUnavailable) { // the endpoint did not fail; the next ask lists it in Avoid
+	if errors.Is(err, errUnavailable) {
+		// The endpoint did not fail. The next request for a grant lists it in Avoid.
 		e.reportProgress(a, cell.Progress{Phase: cell.Withdrawn})
 		return err
 	}
@@ -237,7 +238,7 @@
 	startedAt := e.options.Now()
 	e.reportProgress(a, cell.Progress{Phase: cell.Streaming})
 	answer, err := e.client.Call(ctx, a.grant.DecodeAddr, endpoint.Call{
-		Attempt: string(a.ask.Attempt), Method: r.Method, Path: r.Path, Header: r.Header, Body: r.Body,
+		Attempt: string(a.request.Attempt), Method: r.Method, Path: r.Path, Header: r.Header, Body: r.Body,
 		Once: !r.repeatable(),
 	})
 	if err != nil {
@@ -261,7 +262,7 @@
 	prefillCtx, cancel := context.WithTimeout(ctx, prefillTimeout)
 	defer cancel()
 	result, err := e.client.Prefill(prefillCtx, a.grant.PrefillAddr, endpoint.PrefillRequest{
-		Attempt: string(a.ask.Attempt), Prompt: r.Prompt, Tokens: r.Tokens, Blocks: r.Blocks,
+		Attempt: string(a.request.Attempt), Prompt: r.Prompt, Tokens: r.Tokens, Blocks: r.Blocks,
 	})
 	if err != nil {
 		return &attemptError{at: a.grant.Prefill, cause: err}
@@ -282,9 +283,9 @@
 var errUnavailable = errors.New("endpoint accepts no requests at present")
 
 // acquirePermit takes a permit to send a request to an endpoint. It returns an error if the
-// endpoint has stopped accepting requests since the ask, or if this process has used up
-// its share of the endpoint's rate limit. In the latter case this process backs off from
-// the endpoint, so that the next ask lists it in Avoid.
+// endpoint has stopped accepting requests since the grant was requested, or if this process
+// has used up its share of the endpoint's rate limit. In the latter case this process backs
+// off from the endpoint, so that the next request for a grant lists it in Avoid.
 func (e *Entry) acquirePermit(at netip.AddrPort) error {
 	now := e.options.Now()
 	if after := e.options.Limits.Take(now, at.String()); after > 0 {
@@ -312,7 +313,7 @@
 	startedAt, offset := e.options.Now(), r.sentTokens
 	first := true
 	err := e.client.Decode(ctx, a.grant.DecodeAddr, endpoint.DecodeRequest{
-		Attempt: string(a.ask.Attempt), Source: a.grant.PrefillAddr, MaxTokens: r.MaxTokens, Offset: r.sentTokens,
+		Attempt: string(a.request.Attempt), Source: a.grant.PrefillAddr, MaxTokens: r.MaxTokens, Offset: r.sentTokens,
 	}, func(t endpoint.Token) error {
 		watchdog.Reset(stallTimeout)
 		if first {
--- a/internal/entry/suspect.go
+++ b/internal/entry/suspect.go
@@ -12,12 +12,13 @@
 )
 
 const (
-	// quarantineRetryAfter is the retry delay sent to the caller of a request that is
-	// quarantined because it ends endpoints. Such a request is not run until an
-	// operator has looked into it, which takes longer than callers wait.
-	quarantineRetryAfter = time.Minute
-	// sameEndInterval is the time within which two observed ends of an endpoint count as
-	// one. An endpoint keeps its name when it restarts, but a restart takes longer.
+	// heldRetryAfter is the retry delay sent to the caller of a held request, one
+	// that is run no more because it ends endpoints. It is not run until an operator
+	// has looked into it, which takes longer than callers wait.
+	heldRetryAfter = time.Minute
+	// sameEndInterval divides time into intervals: ends of an endpoint that are observed
+	// within the same interval count as one. An endpoint keeps its name when it
+	// restarts, but a restart takes longer.
 	sameEndInterval = 2 * time.Second
 )
 
