--- a/internal/cell/choose.go
+++ b/internal/cell/choose.go
@@ -35,9 +35,9 @@
 	}
 	for _, p := range c.prefillServers(func(s *server) bool { return s.mayBecomeAvailable(now, w.request.Avoid) }) {
 		cached := p.prefixes.expectCached(w.request.Blocks, w.request.Tokens)
-		took, link := p.prefillTime(w.request.Tokens, cached), p.linkTime(w.request.Tokens)
-		if !ok || took+link < best.Prefill+best.Link {
-			best.Prefill, best.Link, best.Cached, ok = took, link, cached, true
+		prefill, link := p.prefillTime(w.request.Tokens, cached), p.linkTime(w.request.Tokens)
+		if !ok || prefill+link < best.Prefill+best.Link {
+			best.Prefill, best.Link, best.Cached, ok = prefill, link, cached, true
 		}
 	}
 	return best, ok
@@ -107,8 +107,8 @@
 		candidate := best
 		candidate.prefill = p
 		candidate.cached = p.prefixes.expectCached(w.request.Blocks, w.request.Tokens)
-		took := p.prefillTime(w.request.Tokens, candidate.cached)
-		ready := p.backlog(now) + took
+		prefill := p.prefillTime(w.request.Tokens, candidate.cached)
+		ready := p.backlog(now) + prefill
 		link := max(p.linkUntil.Sub(now.Add(ready)), 0) + p.linkTime(w.request.Tokens)
 		candidate.terms.Prefill, candidate.terms.Link, candidate.terms.Cached = ready, link, candidate.cached
 		if best.prefill == nil || candidate.terms.FirstToken() < best.terms.FirstToken() {
--- a/internal/cell/message.go
+++ b/internal/cell/message.go
@@ -38,7 +38,7 @@
 	Blocks    []uint64      `cbor:"9,keyasint"`  // prefix blocks, salted by workspace
 	MaxTokens int           `cbor:"10,keyasint"` // of the answer
 	Budget    time.Duration `cbor:"11,keyasint"` // left until the first token is late
-	Avoid     []string      `cbor:"12,keyasint"` // endpoints that failed earlier attempts
+	Avoid     []string      `cbor:"12,keyasint"` // endpoints that failed earlier attempts or accept no requests at present
 	Retry     bool          `cbor:"13,keyasint"`
 }
 
--- a/internal/cell/outlier.go
+++ b/internal/cell/outlier.go
@@ -39,12 +39,12 @@
 
 // evaluatePrefill updates an endpoint's speed from a prefill that ran alone and
 // records a failure if that was far slower than the other endpoints' median.
-func (c *Cell) evaluatePrefill(now clock.Millis, s *server, tokens int, took time.Duration) {
-	s.learnRate(tokens, took)
-	if tokens < minLearnTokens || took <= 0 {
+func (c *Cell) evaluatePrefill(now clock.Millis, s *server, tokens int, duration time.Duration) {
+	s.learnRate(tokens, duration)
+	if tokens < minLearnTokens || duration <= 0 {
 		return
 	}
-	rate := float64(tokens) / took.Seconds()
+	rate := float64(tokens) / duration.Seconds()
 	if median := c.median(s, func(o *server) float64 { return o.rate }); median > slowFactor*rate {
 		c.recordFailure(now, s.Name)
 		return
--- a/internal/cell/server.go
+++ b/internal/cell/server.go
@@ -131,11 +131,11 @@
 }
 
 // learnRate updates the prefill rate from a prefill that ran alone.
-func (s *server) learnRate(tokens int, took time.Duration) {
-	if tokens < minLearnTokens || took <= 0 {
+func (s *server) learnRate(tokens int, duration time.Duration) {
+	if tokens < minLearnTokens || duration <= 0 {
 		return
 	}
-	s.rate += ewmaWeight * (float64(tokens)/took.Seconds() - s.rate)
+	s.rate += ewmaWeight * (float64(tokens)/duration.Seconds() - s.rate)
 }
 
 // minLearnTokens is the smallest prefill, in tokens, whose duration is used to
--- a/internal/changelog/log_test.go
+++ b/internal/changelog/log_test.go
@@ -177,9 +177,9 @@
 	c.Assert(fresh.ApplyDelta(peer.Delta(changelog.Pull{After: 0})), qt.IsNil)
 	c.Assert(fresh.Loaded(), qt.IsTrue)
 	c.Assert(fresh.Current().Revision, qt.Equals, int64(5))
-	whole := changelog.Delta{Revision: 5, Rows: peer.Current().Rows()}
+	snapshot := changelog.Delta{Revision: 5, Rows: peer.Current().Rows()}
 	other := f.log()
-	c.Assert(other.ApplyDelta(whole), qt.IsNil)
+	c.Assert(other.ApplyDelta(snapshot), qt.IsNil)
 	c.Assert(other.Current().Rows(), qt.DeepEquals, peer.Current().Rows())
 	c.Assert(other.Delta(changelog.Pull{After: 2}).Revision, qt.Equals, int64(5))
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -133,8 +133,8 @@
 }
 
 // announcementOverdue reports whether this process, because it was paused or
-// overloaded, has not announced its attempts for so long that dispatchers may have
-// ended them and given their places to others.
+// overloaded, has not announced its attempts for more than half of OwnerExpiry, so that
+// dispatchers may have ended them and granted their slots to others.
 func (e *Entry) announcementOverdue() bool {
 	last := clock.Millis(e.lastAnnounced.Load())
 	return e.options.Now().Sub(last) > e.options.OwnerExpiry/2
--- a/internal/member/bench_test.go
+++ b/internal/member/bench_test.go
@@ -23,9 +23,9 @@
 			cl.tables = append([]*member.Table{}, own...)
 			cl.run(10 * time.Second)
 			table := cl.tables[0]
-			foreign := newCluster(24, 3)
-			h := member.Heartbeat{From: foreign.tables[0].Self()}
-			for i, f := range foreign.tables[3:] {
+			remote := newCluster(24, 3)
+			h := member.Heartbeat{From: remote.tables[0].Self()}
+			for i, f := range remote.tables[3:] {
 				self := f.Self()
 				self.ID = fmt.Sprintf("far%03d", i)
 				h.Members = append(h.Members, self)
--- a/internal/quota/cost_test.go
+++ b/internal/quota/cost_test.go
@@ -21,20 +21,20 @@
 				for n := range s.workspaces {
 					limits[fmt.Sprint("workspace", n)] = quota.Limit{Rate: requested / usualRatio, Burst: requested / usualRatio}
 				}
-				w := newWorld(1, s.instances, s.zones, limits)
+				f := newFleet(1, s.instances, s.zones, limits)
 				demand := func(workspace string, _ *instance) float64 {
 					if workspace == "workspace0" {
 						return 6 * requested / float64(s.instances)
 					}
 					return requested / float64(s.instances)
 				}
-				w.run(window, demand) // until the ledgers know what ran before
-				w.countBytes, w.messages = true, 0
+				f.run(window, demand) // until the ledgers know what ran before
+				f.countBytes, f.messages = true, 0
 				const seconds = 2
-				w.run(seconds*time.Second, demand)
+				f.run(seconds*time.Second, demand)
 				each := float64(s.instances) * seconds
-				b.ReportMetric(float64(w.messages)/each, "messages/instance/s")
-				b.ReportMetric(float64(w.bytes)/each, "bytes/instance/s")
+				b.ReportMetric(float64(f.messages)/each, "messages/instance/s")
+				b.ReportMetric(float64(f.bytes)/each, "bytes/instance/s")
 			}
 		})
 	}
--- a/internal/quota/world_test.go
+++ b/internal/quota/fleet_test.go
@@ -24,9 +24,9 @@
 	sumsInterval       = 200 * time.Millisecond
 )
 
-// world simulates a fleet of gates and ledgers that exchange the messages of
+// fleet simulates instances with gates and ledgers that exchange the messages of
 // internal/metering, with the same intervals.
-type world struct {
+type fleet struct {
 	random     *rand.Rand
 	now        clock.Millis
 	instances  []*instance
@@ -67,48 +67,48 @@
 	incarnation uint64
 }
 
-func newWorld(seed uint64, instances, zones int, limits map[string]quota.Limit) *world {
-	w := &world{
+func newFleet(seed uint64, instances, zones int, limits map[string]quota.Limit) *fleet {
+	f := &fleet{
 		random: rand.New(rand.NewPCG(seed, 1)), now: 100_000, limits: limits, delay: 20 * time.Millisecond,
 		ran: map[string][]usage{}, requested: map[string]float64{}, admitted: map[string]float64{},
 		partitioned: func(_, _ *instance) bool { return false },
 	}
 	for z := range zones {
-		w.zones = append(w.zones, fmt.Sprint("z", z))
+		f.zones = append(f.zones, fmt.Sprint("z", z))
 	}
 	for n := range instances {
-		i := &instance{name: fmt.Sprint("n", n), zone: w.zones[n%zones], index: n}
-		w.instances = append(w.instances, i)
-		w.start(i)
+		i := &instance{name: fmt.Sprint("n", n), zone: f.zones[n%zones], index: n}
+		f.instances = append(f.instances, i)
+		f.start(i)
 	}
-	return w
+	return f
 }
 
-func (w *world) start(i *instance) {
-	i.incarnation, i.startedAt, i.restartAt, i.statusAt = w.random.Uint64(), w.now, 0, 0
-	i.gate, i.ledger = admission.New(w.now), quota.NewLedger(i.zone, i.incarnation, window)
+func (f *fleet) start(i *instance) {
+	i.incarnation, i.startedAt, i.restartAt, i.statusAt = f.random.Uint64(), f.now, 0, 0
+	i.gate, i.ledger = admission.New(f.now), quota.NewLedger(i.zone, i.incarnation, window)
 }
 
 // kill ends an instance, which restarts after a time.
-func (w *world) kill(i *instance, away time.Duration) {
-	i.restartAt = w.now.Add(max(away, time.Millisecond))
+func (f *fleet) kill(i *instance, away time.Duration) {
+	i.restartAt = f.now.Add(max(away, time.Millisecond))
 }
 
-func (w *world) send(from, to *instance, v any, do func()) {
+func (f *fleet) send(from, to *instance, v any, do func()) {
 	if from != to {
-		w.messages++
-		w.bytes += w.size(v)
+		f.messages++
+		f.bytes += f.size(v)
 	}
-	if w.partitioned(from, to) {
+	if f.partitioned(from, to) {
 		return
 	}
-	at := w.now.Add(time.Duration(w.random.Int64N(int64(w.delay) + 1)))
-	w.inFlight = append(w.inFlight, delivery{at: at, do: do, to: to, incarnation: to.incarnation})
+	at := f.now.Add(time.Duration(f.random.Int64N(int64(f.delay) + 1)))
+	f.inFlight = append(f.inFlight, delivery{at: at, do: do, to: to, incarnation: to.incarnation})
 }
 
 // size returns the size of a message without framing.
-func (w *world) size(v any) int {
-	if !w.countBytes {
+func (f *fleet) size(v any) int {
+	if !f.countBytes {
 		return 0
 	}
 	data, err := cbor.Marshal(v)
@@ -120,10 +120,10 @@
 
 // ledgerInstances returns the two instances that run a zone's ledgers: the first live
 // ones, as the roster shows them shortly after a death.
-func (w *world) ledgerInstances(zone string) []*instance {
+func (f *fleet) ledgerInstances(zone string) []*instance {
 	var list []*instance
-	for _, i := range w.instances {
-		if i.zone == zone && len(list) < 2 && (i.restartAt == 0 || w.now.Sub(i.restartAt) < 0 && i.restartAt.Sub(w.now) < 1500*time.Millisecond) {
+	for _, i := range f.instances {
+		if i.zone == zone && len(list) < 2 && (i.restartAt == 0 || f.now.Sub(i.restartAt) < 0 && i.restartAt.Sub(f.now) < 1500*time.Millisecond) {
 			list = append(list, i)
 		}
 	}
@@ -132,38 +132,38 @@
 
 // step advances the time by a tick. demand returns the units a second of a workspace
 // that arrive at an instance.
-func (w *world) step(cost float64, demand func(workspace string, i *instance) float64) {
-	w.now = w.now.Add(tick)
-	w.deliver()
-	for _, i := range w.instances {
+func (f *fleet) step(cost float64, demand func(workspace string, i *instance) float64) {
+	f.now = f.now.Add(tick)
+	f.deliver()
+	for _, i := range f.instances {
 		if i.restartAt != 0 {
-			if w.now < i.restartAt {
+			if f.now < i.restartAt {
 				continue
 			}
-			w.start(i)
+			f.start(i)
 		}
-		w.sendRequests(i, cost, demand)
-		w.exchange(i)
+		f.sendRequests(i, cost, demand)
+		f.exchange(i)
 	}
 }
 
-func (w *world) sendRequests(i *instance, cost float64, demand func(string, *instance) float64) {
-	for _, name := range slices.Sorted(maps.Keys(w.limits)) {
-		limit := w.limits[name]
+func (f *fleet) sendRequests(i *instance, cost float64, demand func(string, *instance) float64) {
+	for _, name := range slices.Sorted(maps.Keys(f.limits)) {
+		limit := f.limits[name]
 		mean := demand(name, i) * tick.Seconds() / cost
-		for n := w.poisson(mean); n > 0; n-- {
-			w.requested[name] += cost
-			if i.gate.Admit(w.now, name, limit, cost, len(w.instances)).Admitted {
-				w.admitted[name] += cost
-				w.ran[name] = append(w.ran[name], usage{w.now, cost})
+		for n := f.poisson(mean); n > 0; n-- {
+			f.requested[name] += cost
+			if i.gate.Admit(f.now, name, limit, cost, len(f.instances)).Admitted {
+				f.admitted[name] += cost
+				f.ran[name] = append(f.ran[name], usage{f.now, cost})
 			}
 		}
 	}
 }
 
-func (w *world) poisson(mean float64) int {
+func (f *fleet) poisson(mean float64) int {
 	n, p := 0, math.Exp(-mean)
-	for left := w.random.Float64(); left > p && n < 1000; {
+	for left := f.random.Float64(); left > p && n < 1000; {
 		n++
 		left -= p
 		p *= mean / float64(n)
@@ -171,72 +171,72 @@
 	return n
 }
 
-func (w *world) exchange(i *instance) {
-	phase := (int64(w.now)/tick.Milliseconds() + int64(i.index)) * tick.Milliseconds()
+func (f *fleet) exchange(i *instance) {
+	phase := (int64(f.now)/tick.Milliseconds() + int64(i.index)) * tick.Milliseconds()
 	all := phase%fullReportInterval.Milliseconds() == 0
-	zone := w.ledgerInstances(i.zone)
+	zone := f.ledgerInstances(i.zone)
 	if all || i.gate.NearLimit() || phase%sumsInterval.Milliseconds() == 0 {
-		r := quota.Report{Instance: i.name, Incarnation: i.incarnation, Age: w.now.Sub(i.startedAt), Uses: i.gate.Report(all)}
+		r := quota.Report{Instance: i.name, Incarnation: i.incarnation, Age: f.now.Sub(i.startedAt), Uses: i.gate.Report(all)}
 		for _, k := range zone {
-			w.send(i, k, r, func() { k.ledger.AddReport(w.now, r) })
+			f.send(i, k, r, func() { k.ledger.AddReport(f.now, r) })
 		}
 	}
 	for rank, k := range zone {
 		if k == i {
-			w.runLedger(i, rank, all, phase%sumsInterval.Milliseconds() == 0)
+			f.runLedger(i, rank, all, phase%sumsInterval.Milliseconds() == 0)
 		}
 	}
 }
 
-func (w *world) runLedger(i *instance, rank int, all, sums bool) {
-	p := quota.Membership{Zones: map[string]bool{}, Instances: map[string]bool{}, Total: len(w.instances)}
-	for _, o := range w.instances {
+func (f *fleet) runLedger(i *instance, rank int, all, sums bool) {
+	p := quota.Membership{Zones: map[string]bool{}, Instances: map[string]bool{}, Total: len(f.instances)}
+	for _, o := range f.instances {
 		p.Zones[o.zone] = true
 		p.Instances[o.name] = p.Instances[o.name] || o.zone == i.zone
 	}
-	i.ledger.Step(w.now, w.limits, p)
-	if rank > 0 && w.now.Sub(i.statusAt) <= 600*time.Millisecond {
+	i.ledger.Step(f.now, f.limits, p)
+	if rank > 0 && f.now.Sub(i.statusAt) <= 600*time.Millisecond {
 		return
 	}
 	if all || i.ledger.NearLimit() {
 		statuses := i.ledger.Statuses()
-		for _, o := range w.instances {
+		for _, o := range f.instances {
 			if o.zone == i.zone {
-				w.send(i, o, statuses, func() {
+				f.send(i, o, statuses, func() {
 					if o != i {
-						o.statusAt = w.now
+						o.statusAt = f.now
 					}
-					o.gate.Update(w.now, statuses)
+					o.gate.Update(f.now, statuses)
 				})
 			}
 		}
 	}
 	if sums || i.ledger.NearLimit() {
-		sums := i.ledger.Sums(w.now)
-		for _, zone := range w.zones {
-			for _, o := range w.ledgerInstances(zone) {
+		sums := i.ledger.Sums(f.now)
+		for _, zone := range f.zones {
+			for _, o := range f.ledgerInstances(zone) {
 				if o.zone != i.zone {
-					w.send(i, o, sums, func() { o.ledger.AddSums(w.now, sums) })
+					f.send(i, o, sums, func() { o.ledger.AddSums(f.now, sums) })
 				}
 			}
 		}
 	}
 }
 
-func (w *world) deliver() {
-	sort.SliceStable(w.inFlight, func(a, b int) bool { return w.inFlight[a].at < w.inFlight[b].at })
+func (f *fleet) deliver() {
+	sort.SliceStable(f.inFlight, func(a, b int) bool { return f.inFlight[a].at < f.inFlight[b].at })
 	n := 0
-	for ; n < len(w.inFlight) && w.inFlight[n].at <= w.now; n++ {
-		if l := w.inFlight[n]; l.to.restartAt == 0 && l.to.incarnation == l.incarnation {
+	for ; n < len(f.inFlight) && f.inFlight[n].at <= f.now; n++ {
+		if l := f.inFlight[n]; l.to.restartAt == 0 && l.to.incarnation == l.incarnation {
 			l.do()
 		}
 	}
-	w.inFlight = append([]delivery(nil), w.inFlight[n:]...)
+	f.inFlight = append([]delivery(nil), f.inFlight[n:]...)
 }
 
 // maxInWindow returns the maximum of units that ran for a workspace in any window.
-func (w *world) maxInWindow(workspace string) float64 {
-	runs, peak, sum, first := w.ran[workspace], 0.0, 0.0, 0
+func (f *fleet) maxInWindow(workspace string) float64 {
+	runs, peak, sum, first := f.ran[workspace], 0.0, 0.0, 0
 	for _, r := range runs {
 		sum += r.units
 		for r.at.Sub(runs[first].at) >= window {
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -23,13 +23,13 @@
 var largeLimit = quota.Limit{Rate: 200_000, Burst: 200_000}
 
 // evenDemand spreads a workspace's demand evenly over the instances.
-func evenDemand(w *world, perSecond float64) func(string, *instance) float64 {
-	return func(string, *instance) float64 { return perSecond / float64(len(w.instances)) }
+func evenDemand(f *fleet, perSecond float64) func(string, *instance) float64 {
+	return func(string, *instance) float64 { return perSecond / float64(len(f.instances)) }
 }
 
-func (w *world) run(length time.Duration, demand func(string, *instance) float64) {
-	for end := w.now.Add(length); w.now < end; {
-		w.step(requestUnits, demand)
+func (f *fleet) run(length time.Duration, demand func(string, *instance) float64) {
+	for end := f.now.Add(length); f.now < end; {
+		f.step(requestUnits, demand)
 	}
 }
 
@@ -40,16 +40,16 @@
 	for _, test := range tests {
 		t.Run(fmt.Sprint(test.instances), func(t *testing.T) {
 			c := qt.New(t)
-			w := newWorld(1, test.instances, test.zones, map[string]quota.Limit{"hot": largeLimit})
-			w.run(2*time.Second, evenDemand(w, usualRatio*largeLimit.Rate)) // until all instances have received a status
-			requested, admitted := w.requested["hot"], w.admitted["hot"]
-			w.run(8*time.Second, evenDemand(w, usualRatio*largeLimit.Rate))
-			c.Assert(w.admitted["hot"]-admitted, qt.Equals, w.requested["hot"]-requested)
-			before := w.admitted["hot"]
+			f := newFleet(1, test.instances, test.zones, map[string]quota.Limit{"hot": largeLimit})
+			f.run(2*time.Second, evenDemand(f, usualRatio*largeLimit.Rate)) // until all instances have received a status
+			requested, admitted := f.requested["hot"], f.admitted["hot"]
+			f.run(8*time.Second, evenDemand(f, usualRatio*largeLimit.Rate))
+			c.Assert(f.admitted["hot"]-admitted, qt.Equals, f.requested["hot"]-requested)
+			before := f.admitted["hot"]
 			const hot = 20 * time.Second
-			w.run(hot, evenDemand(w, 7.5*usualRatio*largeLimit.Rate))
-			c.Assert(w.maxInWindow("hot") <= bound(largeLimit), qt.IsTrue, qt.Commentf("used %.0f, allowed %.0f", w.maxInWindow("hot"), bound(largeLimit)))
-			got := w.admitted["hot"] - before
+			f.run(hot, evenDemand(f, 7.5*usualRatio*largeLimit.Rate))
+			c.Assert(f.maxInWindow("hot") <= bound(largeLimit), qt.IsTrue, qt.Commentf("used %.0f, allowed %.0f", f.maxInWindow("hot"), bound(largeLimit)))
+			got := f.admitted["hot"] - before
 			c.Assert(got >= largeLimit.Rate*hot.Seconds()*0.9, qt.IsTrue, qt.Commentf("admitted %.0f", got))
 		})
 	}
@@ -61,18 +61,18 @@
 func TestNothingIsRefusedBelowTheLimit(t *testing.T) {
 	tests := []struct {
 		name        string
-		demand      func(w *world, workspace string) float64 // as a fraction of the rate
+		demand      func(f *fleet, workspace string) float64 // as a fraction of the rate
 		minAdmitted float64                                  // fraction of the requests
 	}{
-		{"usual", func(*world, string) float64 { return usualRatio }, 1},
-		{"nine tenths", func(*world, string) float64 { return 0.9 }, 0.97},
-		{"a burst", func(w *world, _ string) float64 {
-			if s := int64(w.now) / 1000 % 24; s >= 12 && s < 16 {
+		{"usual", func(*fleet, string) float64 { return usualRatio }, 1},
+		{"nine tenths", func(*fleet, string) float64 { return 0.9 }, 0.97},
+		{"a burst", func(f *fleet, _ string) float64 {
+			if s := int64(f.now) / 1000 % 24; s >= 12 && s < 16 {
 				return 1.5
 			}
 			return usualRatio
 		}, 0.97},
-		{"another workspace exceeds its limit", func(_ *world, workspace string) float64 {
+		{"another workspace exceeds its limit", func(_ *fleet, workspace string) float64 {
 			if workspace == "other" {
 				return 6
 			}
@@ -82,13 +82,13 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			w := newWorld(2, 78, 3, map[string]quota.Limit{"one": largeLimit, "other": largeLimit})
-			w.run(10*time.Second, evenDemand(w, usualRatio*largeLimit.Rate)) // until the ledgers know what ran before
-			requested, admitted := w.requested["one"], w.admitted["one"]
-			w.run(30*time.Second, func(workspace string, _ *instance) float64 {
-				return test.demand(w, workspace) * largeLimit.Rate / float64(len(w.instances))
+			f := newFleet(2, 78, 3, map[string]quota.Limit{"one": largeLimit, "other": largeLimit})
+			f.run(10*time.Second, evenDemand(f, usualRatio*largeLimit.Rate)) // until the ledgers know what ran before
+			requested, admitted := f.requested["one"], f.admitted["one"]
+			f.run(30*time.Second, func(workspace string, _ *instance) float64 {
+				return test.demand(f, workspace) * largeLimit.Rate / float64(len(f.instances))
 			})
-			fraction := (w.admitted["one"] - admitted) / (w.requested["one"] - requested)
+			fraction := (f.admitted["one"] - admitted) / (f.requested["one"] - requested)
 			c.Assert(fraction >= test.minAdmitted, qt.IsTrue, qt.Commentf("admitted fraction %.3f", fraction))
 		})
 	}
@@ -109,15 +109,15 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			w := newWorld(3, 78, 3, map[string]quota.Limit{"one": largeLimit})
-			w.run(10*time.Second, evenDemand(w, usualRatio*largeLimit.Rate))
-			w.partitioned = test.partitioned
-			requested, admitted := w.requested["one"], w.admitted["one"]
-			w.run(6*time.Second, evenDemand(w, usualRatio*largeLimit.Rate))
-			fraction := (w.admitted["one"] - admitted) / (w.requested["one"] - requested)
+			f := newFleet(3, 78, 3, map[string]quota.Limit{"one": largeLimit})
+			f.run(10*time.Second, evenDemand(f, usualRatio*largeLimit.Rate))
+			f.partitioned = test.partitioned
+			requested, admitted := f.requested["one"], f.admitted["one"]
+			f.run(6*time.Second, evenDemand(f, usualRatio*largeLimit.Rate))
+			fraction := (f.admitted["one"] - admitted) / (f.requested["one"] - requested)
 			c.Check(fraction >= test.minAdmitted, qt.IsTrue, qt.Commentf("admitted fraction %.3f", fraction))
-			w.run(14*time.Second, evenDemand(w, 4*usualRatio*largeLimit.Rate))
-			c.Check(w.maxInWindow("one") <= bound(largeLimit), qt.IsTrue, qt.Commentf("used %.0f, allowed %.0f", w.maxInWindow("one"), bound(largeLimit)))
+			f.run(14*time.Second, evenDemand(f, 4*usualRatio*largeLimit.Rate))
+			c.Check(f.maxInWindow("one") <= bound(largeLimit), qt.IsTrue, qt.Commentf("used %.0f, allowed %.0f", f.maxInWindow("one"), bound(largeLimit)))
 		})
 	}
 }
@@ -128,16 +128,16 @@
 func TestFullRestart(t *testing.T) {
 	c := qt.New(t)
 	for _, loadRatio := range []float64{1, 5} {
-		w := newWorld(4, 78, 3, map[string]quota.Limit{"one": largeLimit})
-		w.run(12*time.Second, evenDemand(w, loadRatio*usualRatio*largeLimit.Rate))
-		for _, i := range w.instances {
-			w.kill(i, 1200*time.Millisecond)
+		f := newFleet(4, 78, 3, map[string]quota.Limit{"one": largeLimit})
+		f.run(12*time.Second, evenDemand(f, loadRatio*usualRatio*largeLimit.Rate))
+		for _, i := range f.instances {
+			f.kill(i, 1200*time.Millisecond)
 		}
-		requested, admitted := w.requested["one"], w.admitted["one"]
-		w.run(10*time.Second, evenDemand(w, loadRatio*usualRatio*largeLimit.Rate))
-		c.Check(w.maxInWindow("one") <= bound(largeLimit), qt.IsTrue, qt.Commentf("used %.0f, allowed %.0f", w.maxInWindow("one"), bound(largeLimit)))
+		requested, admitted := f.requested["one"], f.admitted["one"]
+		f.run(10*time.Second, evenDemand(f, loadRatio*usualRatio*largeLimit.Rate))
+		c.Check(f.maxInWindow("one") <= bound(largeLimit), qt.IsTrue, qt.Commentf("used %.0f, allowed %.0f", f.maxInWindow("one"), bound(largeLimit)))
 		if loadRatio == 1 {
-			c.Check(w.admitted["one"]-admitted, qt.Equals, w.requested["one"]-requested)
+			c.Check(f.admitted["one"]-admitted, qt.Equals, f.requested["one"]-requested)
 		}
 	}
 }
@@ -145,19 +145,19 @@
 // A lowered limit must apply within a window, and a raised one must admit more.
 func TestLimitChanges(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld(5, 78, 3, map[string]quota.Limit{"one": largeLimit})
-	w.run(10*time.Second, evenDemand(w, 0.9*largeLimit.Rate))
+	f := newFleet(5, 78, 3, map[string]quota.Limit{"one": largeLimit})
+	f.run(10*time.Second, evenDemand(f, 0.9*largeLimit.Rate))
 	low := quota.Limit{Rate: largeLimit.Rate / 4, Burst: largeLimit.Burst / 4}
-	w.limits["one"] = low
-	w.run(window, evenDemand(w, 0.9*largeLimit.Rate))
-	w.ran["one"] = nil
-	w.run(12*time.Second, evenDemand(w, 0.9*largeLimit.Rate))
-	c.Assert(w.maxInWindow("one") <= bound(low), qt.IsTrue)
-	w.limits["one"] = largeLimit
-	w.run(2*time.Second, evenDemand(w, 0.9*largeLimit.Rate))
-	requested, admitted := w.requested["one"], w.admitted["one"]
-	w.run(5*time.Second, evenDemand(w, 0.9*largeLimit.Rate))
-	c.Assert((w.admitted["one"]-admitted)/(w.requested["one"]-requested) > 0.97, qt.IsTrue)
+	f.limits["one"] = low
+	f.run(window, evenDemand(f, 0.9*largeLimit.Rate))
+	f.ran["one"] = nil
+	f.run(12*time.Second, evenDemand(f, 0.9*largeLimit.Rate))
+	c.Assert(f.maxInWindow("one") <= bound(low), qt.IsTrue)
+	f.limits["one"] = largeLimit
+	f.run(2*time.Second, evenDemand(f, 0.9*largeLimit.Rate))
+	requested, admitted := f.requested["one"], f.admitted["one"]
+	f.run(5*time.Second, evenDemand(f, 0.9*largeLimit.Rate))
+	c.Assert((f.admitted["one"]-admitted)/(f.requested["one"]-requested) > 0.97, qt.IsTrue)
 }
 
 // Whatever is partitioned or dies, and whichever workspace exceeds its limit, no
@@ -167,7 +167,7 @@
 		instances := rapid.IntRange(10, 90).Draw(rt, "instances")
 		zones := rapid.IntRange(1, 4).Draw(rt, "zones")
 		limits := map[string]quota.Limit{"big": largeLimit, "small": {Rate: 47_000, Burst: 47_000}}
-		w := newWorld(rapid.Uint64().Draw(rt, "seed"), instances, zones, limits)
+		f := newFleet(rapid.Uint64().Draw(rt, "seed"), instances, zones, limits)
 		hot := rapid.SampledFrom([]string{"big", "small"}).Draw(rt, "hot")
 		loadRatio := rapid.Float64Range(1, 7.5).Draw(rt, "times")
 		skew := rapid.IntRange(0, 2).Draw(rt, "skew")
@@ -182,14 +182,14 @@
 			return perSecond
 		}
 		for range rapid.IntRange(2, 5).Draw(rt, "troubles") {
-			w.run(time.Duration(rapid.IntRange(1, 6).Draw(rt, "calm"))*time.Second, demand)
-			w.injectFault(rt)
-			w.run(time.Duration(rapid.IntRange(1, 6).Draw(rt, "lasts"))*time.Second, demand)
-			w.partitioned = func(_, _ *instance) bool { return false }
-			w.delay = 20 * time.Millisecond
+			f.run(time.Duration(rapid.IntRange(1, 6).Draw(rt, "calm"))*time.Second, demand)
+			f.injectFault(rt)
+			f.run(time.Duration(rapid.IntRange(1, 6).Draw(rt, "lasts"))*time.Second, demand)
+			f.partitioned = func(_, _ *instance) bool { return false }
+			f.delay = 20 * time.Millisecond
 		}
 		for name, l := range limits {
-			if got := w.maxInWindow(name); got > bound(l) {
+			if got := f.maxInWindow(name); got > bound(l) {
 				rt.Fatalf("%s ran %.0f in a window, allowed %.0f", name, got, bound(l))
 			}
 		}
@@ -197,25 +197,25 @@
 }
 
 // injectFault draws one fault.
-func (w *world) injectFault(rt *rapid.T) {
+func (f *fleet) injectFault(rt *rapid.T) {
 	share := rapid.IntRange(1, 9).Draw(rt, "share")
 	affected := func(i *instance) bool { return (i.index*7+3)%10 < share }
 	switch rapid.SampledFrom([]string{"kill", "zone", "nodes", "slow", "split"}).Draw(rt, "trouble") {
 	case "kill":
-		for _, i := range w.instances {
+		for _, i := range f.instances {
 			if affected(i) {
-				w.kill(i, time.Duration(rapid.IntRange(100, 3000).Draw(rt, "away"))*time.Millisecond)
+				f.kill(i, time.Duration(rapid.IntRange(100, 3000).Draw(rt, "away"))*time.Millisecond)
 			}
 		}
 	case "zone":
-		w.partitioned = func(a, b *instance) bool { return (a.zone == "z0") != (b.zone == "z0") }
+		f.partitioned = func(a, b *instance) bool { return (a.zone == "z0") != (b.zone == "z0") }
 	case "nodes":
 		share = min(share, 4)
-		w.partitioned = func(a, b *instance) bool { return a != b && (affected(a) || affected(b)) }
+		f.partitioned = func(a, b *instance) bool { return a != b && (affected(a) || affected(b)) }
 	case "slow":
-		w.delay = 400 * time.Millisecond
+		f.delay = 400 * time.Millisecond
 	case "split":
-		w.partitioned = func(a, b *instance) bool { return affected(a) != affected(b) }
+		f.partitioned = func(a, b *instance) bool { return affected(a) != affected(b) }
 	}
 }
 
@@ -226,15 +226,15 @@
 func TestHotWorkspaceDuringBurst(t *testing.T) {
 	for seed := range uint64(6) {
 		c := qt.New(t)
-		w := newWorld(seed, 78, 3, map[string]quota.Limit{"hot": largeLimit})
+		f := newFleet(seed, 78, 3, map[string]quota.Limit{"hot": largeLimit})
 		usualRate := usualRatio * largeLimit.Rate
-		w.run(12*time.Second, evenDemand(w, 0))
-		w.run(time.Second, evenDemand(w, usualRate))
-		w.partitioned = func(a, b *instance) bool { return a != b && (a.index%3 == 2 || b.index%3 == 2) }
-		w.run(time.Second, evenDemand(w, usualRate))
-		w.run(4*time.Second, evenDemand(w, 6*usualRate))
-		w.run(5*time.Second, evenDemand(w, 6*1.8*usualRate))
-		c.Check(w.maxInWindow("hot") <= 0.97*bound(largeLimit), qt.IsTrue, qt.Commentf("used %.0f, allowed %.0f", w.maxInWindow("hot"), bound(largeLimit)))
+		f.run(12*time.Second, evenDemand(f, 0))
+		f.run(time.Second, evenDemand(f, usualRate))
+		f.partitioned = func(a, b *instance) bool { return a != b && (a.index%3 == 2 || b.index%3 == 2) }
+		f.run(time.Second, evenDemand(f, usualRate))
+		f.run(4*time.Second, evenDemand(f, 6*usualRate))
+		f.run(5*time.Second, evenDemand(f, 6*1.8*usualRate))
+		c.Check(f.maxInWindow("hot") <= 0.97*bound(largeLimit), qt.IsTrue, qt.Commentf("used %.0f, allowed %.0f", f.maxInWindow("hot"), bound(largeLimit)))
 	}
 }
 
@@ -267,8 +267,8 @@
 	}
 	for range 60 {
 		step(func(int) bool { return true })
-		for _, w := range l.Statuses() {
-			c.Assert(w.AdmitRatio, qt.Equals, 1.0, qt.Commentf("used %.1f of %.1f", w.Used, largeLimit.Rate*window.Seconds()+largeLimit.Burst))
+		for _, s := range l.Statuses() {
+			c.Assert(s.AdmitRatio, qt.Equals, 1.0, qt.Commentf("used %.1f of %.1f", s.Used, largeLimit.Rate*window.Seconds()+largeLimit.Burst))
 		}
 	}
 }
--- a/internal/quota/strategies_test.go
+++ b/internal/quota/strategies_test.go
@@ -115,11 +115,11 @@
 
 // reportPerRequest runs a strategy that decides on each request individually.
 func reportPerRequest(b *testing.B, admit func(clock.Millis, int) (bool, int), instances int, loadRatio float64) {
-	w := newWorld(1, 1, 1, nil) // only for its random numbers
+	f := newFleet(1, 1, 1, nil) // only for its random numbers
 	requested, admitted, messages := 0.0, 0.0, 0
 	for now := start; now < start.Add(length); now = now.Add(10 * time.Millisecond) {
-		for range w.poisson(loadRatio * largeLimit.Rate / requestUnits * 0.01) {
-			ok, n := admit(now, w.random.IntN(instances))
+		for range f.poisson(loadRatio * largeLimit.Rate / requestUnits * 0.01) {
+			ok, n := admit(now, f.random.IntN(instances))
 			requested++
 			messages += n
 			if ok {
@@ -133,15 +133,15 @@
 
 // reportSums runs the strategy in use, in the simulation of this package's tests.
 func reportSums(b *testing.B, instances int, loadRatio float64, cut bool) {
-	w := newWorld(1, instances, 3, map[string]quota.Limit{"w": largeLimit})
-	w.run(10*time.Second, evenDemand(w, usualRatio*largeLimit.Rate))
+	f := newFleet(1, instances, 3, map[string]quota.Limit{"w": largeLimit})
+	f.run(10*time.Second, evenDemand(f, usualRatio*largeLimit.Rate))
 	if cut {
-		w.partitioned = func(x, y *instance) bool { return x != y && (x.index%3 == 2 || y.index%3 == 2) }
+		f.partitioned = func(x, y *instance) bool { return x != y && (x.index%3 == 2 || y.index%3 == 2) }
 	}
-	requested, admitted := w.requested["w"], w.admitted["w"]
-	w.messages = 0
-	w.run(length, evenDemand(w, loadRatio*largeLimit.Rate))
-	requests := (w.requested["w"] - requested) / requestUnits
-	b.ReportMetric((w.admitted["w"]-admitted)/requestUnits/requests, "admitted/asked")
-	b.ReportMetric(float64(w.messages)/requests, "messages/request")
+	requested, admitted := f.requested["w"], f.admitted["w"]
+	f.messages = 0
+	f.run(length, evenDemand(f, loadRatio*largeLimit.Rate))
+	requests := (f.requested["w"] - requested) / requestUnits
+	b.ReportMetric((f.admitted["w"]-admitted)/requestUnits/requests, "admitted/asked")
+	b.ReportMetric(float64(f.messages)/requests, "messages/request")
 }
