--- a/internal/cell/outlier.go
+++ b/internal/cell/outlier.go
@@ -24,27 +24,27 @@
 // mayEject reports whether another endpoint of the role may be ejected: at least
 // half of them must stay available.
 func (c *Cell) mayEject(now clock.Millis, s *server) bool {
-	open, all := 0, 0
+	available, all := 0, 0
 	for _, other := range c.order {
 		if other.Role != s.Role {
 			continue
 		}
 		all++
 		if other.available(now, nil) {
-			open++
+			available++
 		}
 	}
-	return 2*(open-1) >= all
+	return 2*(available-1) >= all
 }
 
 // evaluatePrefill updates an endpoint's speed from a prefill that ran alone and
 // records a failure if that was far slower than the other endpoints' median.
-func (c *Cell) evaluatePrefill(now clock.Millis, s *server, tokens int, took time.Duration) {
-	s.learnRate(tokens, took)
-	if tokens < minLearnTokens || took <= 0 {
+func (c *Cell) evaluatePrefill(now clock.Millis, s *server, tokens int, duration time.Duration) {
+	s.learnRate(tokens, duration)
+	if tokens < minLearnTokens || duration <= 0 {
 		return
 	}
-	rate := float64(tokens) / took.Seconds()
+	rate := float64(tokens) / duration.Seconds()
 	if median := c.median(s, func(o *server) float64 { return o.rate }); median > slowFactor*rate {
 		c.recordFailure(now, s.Name)
 		return
--- a/internal/member/heartbeat.go
+++ b/internal/member/heartbeat.go
@@ -9,8 +9,8 @@
 	"github.com/trailshed/trailshed/pkg/clock"
 )
 
-// Beat is the compact form of a member's beat counter. Mark is a hash of the
-// member's id and incarnation.
+// Beat is the compact form of a member's beat counter. IDHash is a hash of
+// the member's id and incarnation.
 type Beat struct {
 	_      struct{} `cbor:",toarray"`
 	IDHash uint32
