--- a/internal/eventlog/log.go
+++ b/internal/eventlog/log.go
@@ -54,7 +54,7 @@
 	Status      int           // HTTP status
 	Took        time.Duration // time since the request arrived, or the length of a period
 	TimeToFirst time.Duration // from the request's arrival to its first event
-	Predicted   time.Duration // First as predicted when the request was placed
+	Predicted   time.Duration // TimeToFirst as predicted when the request was placed
 	TimeLeft    time.Duration // time until the request's deadline
 	Age         time.Duration // of the data that the decision was based on
 	Version     int64         // of the configuration
--- a/internal/eventlog/log_test.go
+++ b/internal/eventlog/log_test.go
@@ -84,8 +84,8 @@
 // notifyWriter signals each line that was written.
 type notifyWriter chan struct{}
 
-func (h notifyWriter) Write(p []byte) (int, error) {
-	h <- struct{}{}
+func (w notifyWriter) Write(p []byte) (int, error) {
+	w <- struct{}{}
 	return len(p), nil
 }
 
@@ -102,7 +102,7 @@
 }
 
 // Under load, the lines of requests that were served in time are left out; all
-// lines of other requests are written.
+// lines of other requests are written, with the times at which they were logged.
 func TestTrailsUnderLoad(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -117,11 +117,11 @@
 			for range 300 { // more than immediateBurst
 				log.NewRequestLog().End(true)
 			}
-			trail := log.NewRequestLog()
+			requestLog := log.NewRequestLog()
 			for range 3 {
-				trail.Write(eventlog.Line{Event: eventlog.Sent, Request: "last"})
+				requestLog.Write(eventlog.Line{Event: eventlog.Sent, Request: "last"})
 			}
-			trail.End(test.served)
+			requestLog.End(test.served)
 			c.Assert(log.Close(), qt.IsNil)
 			c.Assert(strings.Count(out.String(), `"request":"last"`), qt.Equals, test.want)
 			c.Assert(log.Sampled() == 3, qt.Equals, test.served)
--- a/internal/eventlog/sampling.go
+++ b/internal/eventlog/sampling.go
@@ -27,31 +27,31 @@
 // immediately.
 func newImmediateLimiter() *rate.Limiter { return rate.NewLimiter(immediateRate, immediateBurst) }
 
-// NewRequestLog returns the trail of a request that has just arrived.
+// NewRequestLog returns the log of a request that has just arrived.
 func (l *Log) NewRequestLog() *RequestLog { return &RequestLog{log: l, immediate: l.immediate.Allow()} }
 
 // Write writes one line, or holds it with the present time until End.
-func (t *RequestLog) Write(line Line) {
-	if t.immediate {
-		t.log.Write(line)
+func (r *RequestLog) Write(line Line) {
+	if r.immediate {
+		r.log.Write(line)
 		return
 	}
 	line.At = time.Now().UnixMilli()
-	t.held = append(t.held, line)
+	r.held = append(r.held, line)
 }
 
 // End writes the lines held so far, or leaves them out if the request was served in
 // time.
-func (t *RequestLog) End(served bool) {
+func (r *RequestLog) End(served bool) {
 	if served {
-		t.log.sampled.Add(int64(len(t.held)))
-		t.held = nil
+		r.log.sampled.Add(int64(len(r.held)))
+		r.held = nil
 		return
 	}
-	for _, line := range t.held {
-		t.log.Write(line)
+	for _, line := range r.held {
+		r.log.Write(line)
 	}
-	t.held, t.immediate = nil, true
+	r.held, r.immediate = nil, true
 }
 
 // Sampled returns how many lines of requests served in time were left out.
--- a/internal/soak/clocks/clocks.go
+++ b/internal/soak/clocks/clocks.go
@@ -44,8 +44,8 @@
 			return wall, monotonic - readSuspended(f)
 		},
 		SuspendedTime: func() (time.Duration, error) {
-			asleep, err := machine.SuspendedTime()
-			return asleep + readSuspended(f), err
+			suspended, err := machine.SuspendedTime()
+			return suspended + readSuspended(f), err
 		},
 	}, nil
 }
--- a/pkg/clock/machine.go
+++ b/pkg/clock/machine.go
@@ -26,13 +26,14 @@
 			now := time.Now()
 			return time.Duration(now.UnixNano()), now.Sub(started)
 		},
-		SuspendedTime: readAsleep,
+		SuspendedTime: readSuspendedTime,
 	}
 }
 
-// readAsleep returns the difference between CLOCK_BOOTTIME and CLOCK_MONOTONIC. It
-// reads the latter before and after, to detect a delay between the reads.
-func readAsleep() (time.Duration, error) {
+// readSuspendedTime returns the difference between CLOCK_BOOTTIME and
+// CLOCK_MONOTONIC. It reads the latter before and after, to detect a delay between
+// the reads.
+func readSuspendedTime() (time.Duration, error) {
 	for range maxReadAttempts {
 		before, err := readClock(unix.CLOCK_MONOTONIC)
 		if err != nil {
--- a/pkg/clock/suspend_test.go
+++ b/pkg/clock/suspend_test.go
@@ -17,14 +17,14 @@
 // fakeMachine simulates the clocks of a machine.
 type fakeMachine struct {
 	wall, monotonic, suspended time.Duration
-	asleepReads                int
+	suspendedReads             int
 }
 
 func (m *fakeMachine) source() clock.Source {
 	return clock.Source{
 		Read: func() (wall, monotonic time.Duration) { return m.wall, m.monotonic },
 		SuspendedTime: func() (time.Duration, error) {
-			m.asleepReads++
+			m.suspendedReads++
 			return m.suspended, nil
 		},
 	}
@@ -79,8 +79,8 @@
 	}
 }
 
-// While the clocks run normally, Asleep is called only once a second, as it takes three
-// system calls.
+// While the clocks run normally, SuspendedTime is called only once a second, as it
+// takes three system calls.
 func TestLooksAreFew(t *testing.T) {
 	m := &fakeMachine{}
 	now := clock.From(m.source())
@@ -88,7 +88,7 @@
 		m.run(2 * time.Millisecond)
 		now()
 	}
-	qt.Assert(t, m.asleepReads <= 12, qt.IsTrue, qt.Commentf("%d calls of Asleep in ten seconds", m.asleepReads))
+	qt.Assert(t, m.suspendedReads <= 12, qt.IsTrue, qt.Commentf("%d calls of SuspendedTime in ten seconds", m.suspendedReads))
 }
 
 // This machine's clocks can be read, and Now does not go backwards.
--- a/pkg/clock/system.go
+++ b/pkg/clock/system.go
@@ -19,8 +19,8 @@
 }
 
 const (
-	// checkInterval is how often Asleep is called if the wall clock gives no reason
-	// to. A suspension is normally detected at once, because it advances the wall
+	// checkInterval is how often SuspendedTime is called if the wall clock gives no
+	// reason to. A suspension is normally detected at once, because it advances the wall
 	// clock against the monotonic one, unless the wall clock was set back by the same
 	// amount.
 	checkInterval = time.Second
@@ -37,10 +37,10 @@
 // (BenchmarkSystem); reading the monotonic clock alone costs 43. It is safe for
 // concurrent use.
 type Clock struct {
-	source        Source
-	offset        Millis
-	start         time.Duration // monotonic clock at Open
-	asleepAtStart time.Duration // result of Asleep at Open
+	source           Source
+	offset           Millis
+	start            time.Duration // monotonic clock at Open
+	suspendedAtStart time.Duration // SuspendedTime at Open
 
 	lastGap   atomic.Int64 // wall clock minus monotonic clock at the last check, in ns
 	lastCheck atomic.Int64 // monotonic clock at the last check, in ns
@@ -54,8 +54,8 @@
 	c := &Clock{source: s, offset: Millis(wall.Milliseconds()), start: monotonic}
 	c.lastGap.Store(int64(wall - monotonic))
 	c.lastCheck.Store(int64(monotonic))
-	// If Asleep fails, the monotonic clock is all there is to count on.
-	c.asleepAtStart, _ = s.SuspendedTime()
+	// If SuspendedTime fails, the clock counts on the monotonic clock alone.
+	c.suspendedAtStart, _ = s.SuspendedTime()
 	return c
 }
 
@@ -72,16 +72,16 @@
 // Suspended returns how long the machine was suspended since Open.
 func (c *Clock) Suspended() time.Duration { return time.Duration(c.suspended.Load()) }
 
-// checkSuspension updates the time suspended. If Asleep fails, the next call of Now
-// tries again.
+// checkSuspension updates the time suspended. If SuspendedTime fails, the next call
+// of Now tries again.
 func (c *Clock) checkSuspension(gap, monotonic time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	asleep, err := c.source.SuspendedTime()
+	total, err := c.source.SuspendedTime()
 	if err != nil {
 		return
 	}
-	if longer := asleep - c.asleepAtStart; longer-c.Suspended() > minStep {
+	if longer := total - c.suspendedAtStart; longer-c.Suspended() > minStep {
 		c.suspended.Store(int64(longer))
 	}
 	c.lastGap.Store(int64(gap))
