--- a/internal/command/admin_client.go
+++ b/internal/command/admin_client.go
@@ -14,8 +14,8 @@
 
 const adminTimeout = 15 * time.Second
 
-// adminClient sends statements to the admin address of a running process. Its options are
-// shared by all commands that embed it.
+// adminClient sends statements to the admin address of a running process. Its options
+// are shared by all commands that embed it.
 type adminClient struct {
 	Admin    string `short:"a" long:"admin" env:"TRAILSHED_ADMIN" default:"127.0.0.1:7200" value-name:"ADDRESS" description:"operators' address of any process"`
 	Token    string `short:"t" long:"token" env:"TRAILSHED_TOKEN" value-name:"SECRET" description:"operators' token"`
--- a/internal/experiment/outcome.go
+++ b/internal/experiment/outcome.go
@@ -19,7 +19,7 @@
 	Requests              int      `json:"asked"`
 	InTime                int      `json:"in_time"` // complete, with the first token within its limit
 	Late                  int      `json:"late"`    // complete, with the first token after its limit
-	Refused               int      `json:"refused"` // refused by the dispatcher
+	Refused               int      `json:"refused"` // refused by the dispatcher, not run
 	Failed                int      `json:"failed"`
 	Unfinished            int      `json:"unended"`
 	Retries               int      `json:"retries"`
@@ -89,7 +89,7 @@
 // WasteRatio is the fraction of the processed prompt tokens that were wasted.
 func (o *Outcome) WasteRatio() float64 { return ratio(int(o.WastedTokens), int(o.PrefillTokens)) }
 
-// ratio returns n/of, or 0 if of is 0.
+// ratio returns n/total, or 0 if total is 0.
 func ratio(n, total int) float64 {
 	if total == 0 {
 		return 0
--- a/internal/experiment/requests.go
+++ b/internal/experiment/requests.go
@@ -40,12 +40,12 @@
 	r.attempts++
 	a := &attempt{request: r, id: cell.NewAttemptID(r.id, r.attempts)}
 	s.running[a.id] = a
-	query := cell.AttemptRequest{
+	attemptRequest := cell.AttemptRequest{
 		Cell: emulatedCell, Attempt: a.id, Request: r.id, Owner: owner, Workspace: workspace, Kind: kind, Tokens: r.prompt,
 		MaxTokens: s.plan.Load.Answer.Max, Budget: s.plan.Load.FirstToken - s.now.Sub(r.arrived),
 		Avoid: r.avoid, Retry: r.attempts > 1,
 	}
-	s.after(messageDelay, func() { s.apply(query) })
+	s.after(messageDelay, func() { s.apply(attemptRequest) })
 }
 
 // granted handles a grant: the attempt goes to its prefill engine.
--- a/internal/experiment/simulation.go
+++ b/internal/experiment/simulation.go
@@ -16,7 +16,8 @@
 const (
 	// messageDelay is the latency of a message between two processes of a zone.
 	messageDelay = time.Millisecond
-	// tickInterval is the interval between the dispatcher's timer ticks.
+	// tickInterval is the interval between the dispatcher's timer ticks, the same as
+	// in a process while requests are queued.
 	tickInterval = 10 * time.Millisecond
 	// announceInterval is the interval at which the entry announces its attempts.
 	announceInterval = 300 * time.Millisecond
--- a/internal/trace/player.go
+++ b/internal/trace/player.go
@@ -113,8 +113,8 @@
 }
 
 // connect sends the request to the first target, from index i on, that accepts the
-// connection and is ready, as a load balancer does. A request that
-// fails once the connection is made is not sent to another target.
+// connection and is ready, as a load balancer does. A request that fails once the
+// connection is made is not sent to another target.
 func (p *Player) connect(ctx context.Context, r Request, i int) (*http.Response, error) {
 	var last error
 	for n := range p.Targets {
--- a/internal/trace/report.go
+++ b/internal/trace/report.go
@@ -12,8 +12,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// gapQuantile is the quantile of the gaps between an answer's tokens that is compared with
-// the class's TBT target.
+// gapQuantile is the quantile of the gaps between an answer's tokens that is compared
+// with the class's TBT target.
 const gapQuantile = 0.95
 
 // Report is the result of a replay.
