--- a/internal/soak/caller/caller.go
+++ b/internal/soak/caller/caller.go
@@ -79,8 +79,8 @@
 // PoisonMarker is in the bodies of requests that crash the engines that run them.
 const PoisonMarker = "poison"
 
-// PoisonKind returns the kind for the n-th poisoned request of a run. All calls of it have the
-// same body.
+// PoisonKind returns the kind for the n-th poisoned request of a run. All calls of it have
+// the same body.
 func PoisonKind(n int) Kind {
 	k := Kinds()[0]
 	for _, kind := range Kinds() {
--- a/internal/soak/checker/checker.go
+++ b/internal/soak/checker/checker.go
@@ -97,8 +97,8 @@
 	c.calls[call.ID] = call
 }
 
-// EndpointLeaving records that the store has acknowledged an endpoint's announcement that it is
-// leaving.
+// EndpointLeaving records that the store has acknowledged an endpoint's announcement that
+// it is leaving.
 func (c *Checker) EndpointLeaving(endpoint string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -112,7 +112,8 @@
 	c.versions[version] = time.Now()
 }
 
-// ProcessExited records that a process exited without a signal to do so, or failed after SIGTERM.
+// ProcessExited records that a process exited without a signal to do so, or failed after
+// SIGTERM.
 func (c *Checker) ProcessExited(instance string, number int, cause error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -422,13 +423,13 @@
 		sent[call.Kind.Service] = append(sent[call.Kind.Service], call.Sent)
 	}
 	slices.SortFunc(runs, func(a, b Run) int { return a.At.Compare(b.At) })
-	first, read := map[string]bool{}, map[string]bool{}
+	first, prefilled := map[string]bool{}, map[string]bool{}
 	for _, r := range runs {
 		_, known := c.calls[r.Request]
 		switch {
 		case !known:
-		case r.Prefill && r.PrefillStarted && !read[r.Request]:
-			read[r.Request] = true // the first prefill that accepts the prompt is no retry
+		case r.Prefill && r.PrefillStarted && !prefilled[r.Request]:
+			prefilled[r.Request] = true // the first prefill that accepts the prompt is no retry
 		case first[r.Request]: // a rejected prefill counts as a send
 			retries[r.Service] = append(retries[r.Service], r)
 		default:
--- a/internal/soak/checker/cold.go
+++ b/internal/soak/checker/cold.go
@@ -13,8 +13,8 @@
 	coldExtra  = 5
 )
 
-// EndpointCold records that the store has acknowledged an entry that marks an endpoint as cold.
-// The caller calls end just before the entry is changed back.
+// EndpointCold records that the store has acknowledged an entry that marks an endpoint as
+// cold. The caller calls end just before the entry is changed back.
 func (c *Checker) EndpointCold(endpoint string) (end func()) { return c.beginChange(&c.cold, endpoint) }
 
 // checkCold checks that the instances that must know that an endpoint is cold do not
--- a/internal/soak/ether/ether.go
+++ b/internal/soak/ether/ether.go
@@ -35,33 +35,33 @@
 	if err != nil {
 		return nil, err
 	}
-	e := &Proxy{Address: address, target: target, loss: loss, front: front, sockets: map[netip.AddrPort]*net.UDPConn{}}
-	go e.forward()
-	return e, nil
+	p := &Proxy{Address: address, target: target, loss: loss, front: front, sockets: map[netip.AddrPort]*net.UDPConn{}}
+	go p.forward()
+	return p, nil
 }
 
 // Close closes all sockets of the proxy.
-func (e *Proxy) Close() {
-	_ = e.front.Close()
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	for _, c := range e.sockets {
+func (p *Proxy) Close() {
+	_ = p.front.Close()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, c := range p.sockets {
 		_ = c.Close()
 	}
 }
 
 // forward forwards datagrams to the target until the proxy is closed.
-func (e *Proxy) forward() {
+func (p *Proxy) forward() {
 	buffer := make([]byte, maxDatagram)
 	for {
-		n, sender, err := e.front.ReadFromUDPAddrPort(buffer)
+		n, sender, err := p.front.ReadFromUDPAddrPort(buffer)
 		if err != nil {
 			return // closed
 		}
-		if rand.Float64() < e.loss(sender, e.target) {
+		if rand.Float64() < p.loss(sender, p.target) {
 			continue
 		}
-		c, err := e.socket(sender)
+		c, err := p.socket(sender)
 		if err != nil {
 			continue // the datagram is dropped, as UDP permits
 		}
@@ -70,24 +70,24 @@
 }
 
 // socket returns the socket towards the target for a sender, and opens it if necessary.
-func (e *Proxy) socket(sender netip.AddrPort) (*net.UDPConn, error) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if c := e.sockets[sender]; c != nil {
+func (p *Proxy) socket(sender netip.AddrPort) (*net.UDPConn, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if c := p.sockets[sender]; c != nil {
 		return c, nil
 	}
-	c, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(e.target))
+	c, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(p.target))
 	if err != nil {
 		return nil, err
 	}
-	e.sockets[sender] = c
-	go e.forwardReplies(sender, c)
+	p.sockets[sender] = c
+	go p.forwardReplies(sender, c)
 	return c, nil
 }
 
 // forwardReplies forwards the target's replies to one sender. It continues after a refused
 // port, since the process may be restarted.
-func (e *Proxy) forwardReplies(sender netip.AddrPort, c *net.UDPConn) {
+func (p *Proxy) forwardReplies(sender netip.AddrPort, c *net.UDPConn) {
 	buffer := make([]byte, maxDatagram)
 	for {
 		n, err := c.Read(buffer)
@@ -97,9 +97,9 @@
 		if err != nil {
 			continue
 		}
-		if rand.Float64() < e.loss(e.target, sender) {
+		if rand.Float64() < p.loss(p.target, sender) {
 			continue
 		}
-		_, _ = e.front.WriteToUDPAddrPort(buffer[:n], sender) // dropped on failure
+		_, _ = p.front.WriteToUDPAddrPort(buffer[:n], sender) // dropped on failure
 	}
 }
--- a/internal/soak/fleet/fleet.go
+++ b/internal/soak/fleet/fleet.go
@@ -34,7 +34,7 @@
 	Callers    int
 	Timed      bool          // also check time bounds
 	OnlyKind   schedule.Kind // the only kind of steps; empty for all kinds
-	ExtraSteps bool          // add the steps of schedule.More
+	ExtraSteps bool          // add the steps of schedule.Extra
 }
 
 const (
--- a/internal/soak/fleet/instance.go
+++ b/internal/soak/fleet/instance.go
@@ -56,9 +56,9 @@
 	regions    string // regions of all zones, in the format of the settings
 	ip         netip.Addr
 	program    *program.Program
-	door       *standin.Proxy // its access to the store
-	doorLink   *link.Link     // in front of the door
-	ether      *ether.Proxy   // in front of its port for peers
+	storeProxy *standin.Proxy // its access to the store
+	storeLink  *link.Link     // in front of storeProxy
+	peerProxy  *ether.Proxy   // in front of its port for peers
 	inRotation atomic.Bool    // the balancer sends it requests
 
 	mu           sync.Mutex
@@ -88,12 +88,12 @@
 func (f *Fleet) addInstance(zone string, n int) error {
 	address := f.Network.As4()
 	address[3] = byte(10 + len(f.instances))
-	i := &instance{name: fmt.Sprintf("%s-%d", zone, n), zone: zone, regions: regions(f.Zones), ip: netip.AddrFrom4(address), door: f.store.NewProxy()}
+	i := &instance{name: fmt.Sprintf("%s-%d", zone, n), zone: zone, regions: regions(f.Zones), ip: netip.AddrFrom4(address), storeProxy: f.store.NewProxy()}
 	var err error
-	if i.doorLink, err = link.New(i.door.Address); err != nil {
+	if i.storeLink, err = link.New(i.storeProxy.Address); err != nil {
 		return err
 	}
-	if i.ether, err = ether.New(i.addr(portAdvertised), i.addr(portPeers), f.loss); err != nil {
+	if i.peerProxy, err = ether.New(i.addr(portAdvertised), i.addr(portPeers), f.loss); err != nil {
 		return err
 	}
 	dir := f.LogDir()
@@ -121,7 +121,7 @@
 orders: {gap: 3s}
 memory: {limit_mb: 128}
 `, i.name, i.zone, i.regions, i.addr(portCallers), i.addr(portReady), i.addr(portPeers), i.addr(portAdvertised), i.addr(portAdmin),
-		i.doorLink.Address, retryRatio, retrySlack, retryWindow, grace)
+		i.storeLink.Address, retryRatio, retrySlack, retryWindow, grace)
 	return os.WriteFile(i.program.Settings, []byte(text), 0o600)
 }
 
@@ -152,9 +152,9 @@
 // close ends the process, by SIGKILL since the run is over, and closes the proxies.
 func (i *instance) close() {
 	program.WaitExit(i.program.Signal(syscall.SIGKILL), waitTimeout)
-	i.ether.Close()
-	i.doorLink.Close()
-	i.door.Close()
+	i.peerProxy.Close()
+	i.storeLink.Close()
+	i.storeProxy.Close()
 }
 
 // balance checks the readiness of all instances until ctx ends, and adds them to the
--- a/internal/soak/fleet/steps.go
+++ b/internal/soak/fleet/steps.go
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// applyExtra dispatches a step of schedule.More by its kind.
+// applyExtra dispatches a step of schedule.Extra by its kind.
 func (f *Fleet) applyExtra(ctx context.Context, s schedule.Step, i *instance) error {
 	if s.Kind == schedule.Suspend {
 		return f.suspend(ctx, s.Duration, i)
@@ -269,8 +269,8 @@
 		end := f.faults.Begin(timeline.Store, "", "zone cut")
 		defer end()
 		for _, z := range affected {
-			z.door.SetFault(standin.Silent)
-			defer z.door.SetFault(standin.Healthy)
+			z.storeProxy.SetFault(standin.Silent)
+			defer z.storeProxy.SetFault(standin.Healthy)
 		}
 	}
 	end := f.faults.Begin(timeline.Peers, "", string(s.Kind))
@@ -307,8 +307,8 @@
 	for _, i := range instances {
 		end := f.faults.Begin(scope, i.name, fmt.Sprint("door fault ", fault))
 		defer end()
-		i.door.SetFault(fault)
-		defer i.door.SetFault(standin.Healthy)
+		i.storeProxy.SetFault(fault)
+		defer i.storeProxy.SetFault(standin.Healthy)
 	}
 	sleep(ctx, s.Duration)
 }
@@ -318,8 +318,8 @@
 	end := f.faults.Begin(timeline.Store, "", "slow")
 	defer end()
 	for _, i := range f.allInstances() {
-		i.doorLink.Set(link.Delayed)
-		defer i.doorLink.Set(link.Clean)
+		i.storeLink.Set(link.Delayed)
+		defer i.storeLink.Set(link.Clean)
 	}
 	sleep(ctx, length)
 }
@@ -330,7 +330,7 @@
 	end := f.faults.Begin(timeline.Store, "", "lapse")
 	defer end()
 	for _, i := range f.allInstances() {
-		i.door.SetFault(standin.ResetConnections)
+		i.storeProxy.SetFault(standin.ResetConnections)
 	}
 	sleep(ctx, length)
 	f.mu.Lock()
@@ -340,7 +340,7 @@
 		e.Deregister(f.store)
 	}
 	for _, i := range f.allInstances() {
-		i.door.SetFault(standin.Healthy)
+		i.storeProxy.SetFault(standin.Healthy)
 	}
 	sleep(ctx, 1500*time.Millisecond)
 	f.mu.Lock()
--- a/internal/soak/link/link.go
+++ b/internal/soak/link/link.go
@@ -89,7 +89,8 @@
 	go l.accept(listener)
 }
 
-// SetTarget sets the target of new connections, as when an address is reused by another process.
+// SetTarget sets the target of new connections, as when an address is reused by another
+// process.
 func (l *Link) SetTarget(target netip.AddrPort) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/soak/link/link_test.go
+++ b/internal/soak/link/link_test.go
@@ -83,7 +83,7 @@
 	}{
 		{"clean", link.Clean},
 		{"delayed", link.Delayed},
-		{"no answers", link.NoReplies},
+		{"no replies", link.NoReplies},
 		{"silent", link.Silent},
 	}
 	for _, test := range tests {
--- a/internal/soak/program/program.go
+++ b/internal/soak/program/program.go
@@ -133,7 +133,8 @@
 	return p.exited
 }
 
-// WaitExit waits for the exit of a process, at most for timeout, and reports whether it exited.
+// WaitExit waits for the exit of a process, at most for timeout, and reports whether it
+// exited.
 func WaitExit(exited <-chan struct{}, timeout time.Duration) bool {
 	select {
 	case <-exited:
--- a/internal/soak/schedule/schedule.go
+++ b/internal/soak/schedule/schedule.go
@@ -54,7 +54,7 @@
 	ConfigureStorm Kind = "configure_storm" // stores configurations in quick succession
 )
 
-// Steps drawn by More, independently of those drawn by weight.
+// Steps drawn by Extra, independently of those drawn by weight.
 const (
 	Poison  Kind = "poison"  // repeats a request that crashes every engine that runs it
 	Suspend Kind = "suspend" // suspends an instance's machine: its monotonic clock stops
@@ -113,7 +113,7 @@
 	// initialDelay is the time without faults at the start, in which the fleet forms.
 	initialDelay = 1500 * time.Millisecond
 	// meanGap is the mean time between two steps of New, meanExtraGap that between two
-	// steps of a stream of More.
+	// steps of a stream of Extra.
 	meanGap      = 900 * time.Millisecond
 	meanExtraGap = 5 * time.Second
 	// maxDuration bounds the duration of a step.
@@ -122,7 +122,7 @@
 	repeatRatio = 0.25
 )
 
-// extraStreams are the streams of steps drawn by More. Each has its own random source and
+// extraStreams are the streams of steps drawn by Extra. Each has its own random source and
 // its own kinds. New kinds are added as a new stream at the end, so that the other steps of
 // a seed do not change.
 var extraStreams = []struct {
@@ -144,7 +144,7 @@
 	return steps
 }
 
-// IsExtra reports whether a kind is drawn by More.
+// IsExtra reports whether a kind is drawn by Extra.
 func IsExtra(k Kind) bool {
 	for _, b := range extraStreams {
 		if slices.Contains(b.kinds, k) {
--- a/internal/soak/schedule/schedule_test.go
+++ b/internal/soak/schedule/schedule_test.go
@@ -21,13 +21,13 @@
 		}
 	}
 	c.Assert(kinds, qt.HasLen, 23)
-	more := schedule.Extra(7, time.Minute)
-	c.Assert(more, qt.DeepEquals, schedule.Extra(7, time.Minute))
-	for _, s := range more {
+	extra := schedule.Extra(7, time.Minute)
+	c.Assert(extra, qt.DeepEquals, schedule.Extra(7, time.Minute))
+	for _, s := range extra {
 		kinds[s.Kind] = true
 	}
 	c.Assert(kinds, qt.HasLen, 30)
-	c.Assert(schedule.Merge(schedule.New(7, time.Minute, ""), more), qt.HasLen, len(schedule.New(7, time.Minute, ""))+len(more))
+	c.Assert(schedule.Merge(schedule.New(7, time.Minute, ""), extra), qt.HasLen, len(schedule.New(7, time.Minute, ""))+len(extra))
 	for _, s := range schedule.New(7, time.Minute, schedule.Retire) {
 		c.Assert(s.Kind, qt.Equals, schedule.Retire)
 	}
--- a/internal/soak/timeline/timeline.go
+++ b/internal/soak/timeline/timeline.go
@@ -53,9 +53,9 @@
 	}
 }
 
-// Undisturbed reports whether no fault of the scopes affected a target between two moments. Faults
-// without a target affect all targets. With an empty target, Undisturbed considers the faults of
-// all targets.
+// Undisturbed reports whether no fault of the scopes affected a target between two moments.
+// Faults without a target affect all targets. With an empty target, Undisturbed considers
+// the faults of all targets.
 func (t *Timeline) Undisturbed(from, to time.Time, target string, scopes ...Scope) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
