--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -32,7 +32,7 @@
 	rowsTimeout = time.Second // timeout of a request for the rows of another process
 )
 
-// Options are the settings and dependencies of a Desk.
+// Options are the settings and dependencies of an Executor.
 type Options struct {
 	Zone string
 	Now  func() clock.Millis
@@ -50,7 +50,7 @@
 	transport  *peer.Transport
 }
 
-// New returns a Desk.
+// New returns an Executor.
 func New(o Options, l *changelog.Log, d *dispatcher.Dispatcher, t *peer.Transport) *Executor {
 	return &Executor{options: o, log: l, dispatcher: d, transport: t}
 }
@@ -64,18 +64,18 @@
 }
 
 // Register adds the handler for row requests from other processes.
-func (d *Executor) Register(r *message.Router) {
-	peer.HandleCall(r, d.transport, topicRows, func(ctx context.Context, _ peer.Sender, req rowsRequest) query.Table {
+func (e *Executor) Register(r *message.Router) {
+	peer.HandleCall(r, e.transport, topicRows, func(ctx context.Context, _ peer.Sender, req rowsRequest) query.Table {
 		if req.WholeZone {
-			return d.zoneRows(ctx, req)
+			return e.zoneRows(ctx, req)
 		}
-		return d.ownRows(req)
+		return e.ownRows(req)
 	})
 }
 
 // Execute executes one statement for the operator named who. Base is the configuration
 // revision on which the operator based a command; 0 means the current revision.
-func (d *Executor) Execute(ctx context.Context, text, who string, base int64) (query.Table, error) {
+func (e *Executor) Execute(ctx context.Context, text, who string, base int64) (query.Table, error) {
 	s, err := query.Parse(text)
 	if err != nil {
 		return query.Table{}, err
@@ -83,19 +83,19 @@
 	var t query.Table
 	switch {
 	case s.Show != nil:
-		t, err = d.show(ctx, s.Show)
+		t, err = e.show(ctx, s.Show)
 	case s.Explain != nil:
-		t = d.gather(ctx, rowsRequest{Table: tableExplain, Request: s.Explain.Request})
+		t = e.gather(ctx, rowsRequest{Table: tableExplain, Request: s.Explain.Request})
 		err = t.Filter(nil, 0)
 	default:
-		t, err = d.submitCommand(ctx, s, who, base)
+		t, err = e.submitCommand(ctx, s, who, base)
 	}
-	t.Revision = d.log.Current().Revision
+	t.Revision = e.log.Current().Revision
 	return t, err
 }
 
-func (d *Executor) show(ctx context.Context, s *query.Show) (query.Table, error) {
-	t, err := d.rows(ctx, s.What)
+func (e *Executor) show(ctx context.Context, s *query.Show) (query.Table, error) {
+	t, err := e.rows(ctx, s.What)
 	if err != nil {
 		return t, err
 	}
@@ -103,8 +103,8 @@
 }
 
 // submitCommand submits a command as a change of one aggregate and returns its audit row.
-func (d *Executor) submitCommand(ctx context.Context, s *query.Statement, who string, base int64) (query.Table, error) {
-	ch := catalog.Change{ID: uuid.NewString(), Actor: who, Time: d.options.Now()}
+func (e *Executor) submitCommand(ctx context.Context, s *query.Statement, who string, base int64) (query.Table, error) {
+	ch := catalog.Change{ID: uuid.NewString(), Actor: who, Time: e.options.Now()}
 	switch {
 	case s.Create != nil:
 		ch.Verb, ch.Noun, ch.Name, ch.To = catalog.VerbCreate, s.Create.Noun, s.Create.Name, assignedFields(s.Create)
@@ -119,9 +119,9 @@
 		}
 	}
 	if base == 0 {
-		base = d.log.Current().Revision
+		base = e.log.Current().Revision
 	}
-	done, err := d.log.Submit(ctx, ch, base)
+	done, err := e.log.Submit(ctx, ch, base)
 	if err != nil {
 		return query.Table{}, Error.Wrap(err)
 	}
@@ -176,26 +176,26 @@
 
 // gather collects rows from all processes: directly in the own zone, and through one
 // process of each other zone.
-func (d *Executor) gather(ctx context.Context, req rowsRequest) query.Table {
+func (e *Executor) gather(ctx context.Context, req rowsRequest) query.Table {
 	byZone := map[string][]member.Member{}
-	for _, m := range d.options.Members() {
-		if m.Zone != d.options.Zone {
+	for _, m := range e.options.Members() {
+		if m.Zone != e.options.Zone {
 			byZone[m.Zone] = append(byZone[m.Zone], m)
 		}
 	}
-	queries := []func() query.Table{func() query.Table { return d.zoneRows(ctx, req) }}
+	queries := []func() query.Table{func() query.Table { return e.zoneRows(ctx, req) }}
 	zoneReq := req
 	zoneReq.WholeZone = true
 	for zone, contacts := range byZone {
-		queries = append(queries, func() query.Table { return d.askZone(ctx, zone, contacts, zoneReq) })
+		queries = append(queries, func() query.Table { return e.queryZone(ctx, zone, contacts, zoneReq) })
 	}
-	all := askAll(queries)
+	all := runQueries(queries)
 	slices.Sort(all.Missing)
 	return all
 }
 
-// askAll runs the queries concurrently and merges the answers.
-func askAll(queries []func() query.Table) query.Table {
+// runQueries runs the queries concurrently and merges the answers.
+func runQueries(queries []func() query.Table) query.Table {
 	var mu sync.Mutex
 	var group sync.WaitGroup
 	var all query.Table
@@ -211,10 +211,11 @@
 	return all
 }
 
-// askZone returns the rows of another zone from the first of its processes that answers.
-func (d *Executor) askZone(ctx context.Context, zone string, contacts []member.Member, req rowsRequest) query.Table {
+// queryZone returns the rows of another zone from the first of its processes that
+// answers.
+func (e *Executor) queryZone(ctx context.Context, zone string, contacts []member.Member, req rowsRequest) query.Table {
 	for _, m := range contacts {
-		if t, err := d.requestRows(ctx, m, req); err == nil {
+		if t, err := e.requestRows(ctx, m, req); err == nil {
 			return t
 		}
 	}
@@ -222,30 +223,30 @@
 }
 
 // zoneRows collects the rows of all processes in the own zone.
-func (d *Executor) zoneRows(ctx context.Context, req rowsRequest) query.Table {
+func (e *Executor) zoneRows(ctx context.Context, req rowsRequest) query.Table {
 	req.WholeZone = false
-	queries := []func() query.Table{func() query.Table { return d.ownRows(req) }}
-	for _, m := range d.options.Members() {
-		if m.Zone != d.options.Zone || m.Address == d.transport.Address() {
+	queries := []func() query.Table{func() query.Table { return e.ownRows(req) }}
+	for _, m := range e.options.Members() {
+		if m.Zone != e.options.Zone || m.Address == e.transport.Address() {
 			continue
 		}
 		queries = append(queries, func() query.Table {
-			t, err := d.requestRows(ctx, m, req)
+			t, err := e.requestRows(ctx, m, req)
 			if err != nil {
 				return query.Table{Missing: []string{m.ID}}
 			}
 			return t
 		})
 	}
-	return askAll(queries)
+	return runQueries(queries)
 }
 
-func (d *Executor) requestRows(ctx context.Context, m member.Member, req rowsRequest) (query.Table, error) {
+func (e *Executor) requestRows(ctx context.Context, m member.Member, req rowsRequest) (query.Table, error) {
 	timeout := rowsTimeout
 	if req.WholeZone {
 		timeout *= 2
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return peer.Call[rowsRequest, query.Table](ctx, d.transport, m.Address, topicRows, req)
+	return peer.Call[rowsRequest, query.Table](ctx, e.transport, m.Address, topicRows, req)
 }
--- a/internal/operator/rows.go
+++ b/internal/operator/rows.go
@@ -35,20 +35,20 @@
 )
 
 // rows returns the rows of a table for the whole fleet.
-func (d *Executor) rows(ctx context.Context, table string) (query.Table, error) {
+func (e *Executor) rows(ctx context.Context, table string) (query.Table, error) {
 	switch table {
 	case tableRunning, tableWaiting, tableLoad:
-		return d.gather(ctx, rowsRequest{Table: table}), nil
+		return e.gather(ctx, rowsRequest{Table: table}), nil
 	case tableCells:
-		return d.cellRows(), nil
+		return e.cellRows(), nil
 	case tableMembers:
-		return d.memberRows(), nil
+		return e.memberRows(), nil
 	case tableAudit:
-		return d.auditRows(), nil
+		return e.auditRows(), nil
 	}
 	for _, noun := range catalog.Nouns() {
 		if table == noun || table == plural(noun) {
-			return d.aggregateRows(noun), nil
+			return e.aggregateRows(noun), nil
 		}
 	}
 	return query.Table{}, Error.New("unknown table %q; available tables: %s", table, strings.Join(TableNames(), ", "))
@@ -71,10 +71,10 @@
 }
 
 // ownRows returns the rows of the cells that this process dispatches.
-func (d *Executor) ownRows(req rowsRequest) query.Table {
+func (e *Executor) ownRows(req rowsRequest) query.Table {
 	var t query.Table
-	now := d.options.Now()
-	d.dispatcher.ForEachCell(func(name catalog.Cell, c *cell.Cell) {
+	now := e.options.Now()
+	e.dispatcher.ForEachCell(func(name catalog.Cell, c *cell.Cell) {
 		switch req.Table {
 		case tableRunning:
 			addRunning(&t, now, name, c)
@@ -140,19 +140,19 @@
 
 func formatTime(m clock.Millis) string { return m.Time().Format("2006-01-02T15:04:05.000Z") }
 
-func (d *Executor) cellRows() query.Table {
+func (e *Executor) cellRows() query.Table {
 	t := query.Table{Columns: cellColumns}
-	now := d.options.Now()
-	for _, s := range d.options.Cells() {
+	now := e.options.Now()
+	for _, s := range e.options.Cells() {
 		t.Add(s.Cell.String(), s.Node, strconv.Itoa(s.Headroom.Free), strconv.Itoa(s.Headroom.Waiting),
 			formatDuration(s.Headroom.Wait), now.Sub(s.Stamp).String())
 	}
 	return t
 }
 
-func (d *Executor) memberRows() query.Table {
+func (e *Executor) memberRows() query.Table {
 	t := query.Table{Columns: memberColumns}
-	for _, m := range d.options.Members() {
+	for _, m := range e.options.Members() {
 		state := "live"
 		if m.Leaving {
 			state = "leaving"
@@ -162,9 +162,9 @@
 	return t
 }
 
-func (d *Executor) auditRows() query.Table {
+func (e *Executor) auditRows() query.Table {
 	t := query.Table{Columns: auditColumns}
-	for _, ch := range d.log.History() {
+	for _, ch := range e.log.History() {
 		t.Add(auditRow(ch)...)
 	}
 	return t
@@ -183,9 +183,9 @@
 	return strings.Join(parts, " ")
 }
 
-func (d *Executor) aggregateRows(noun string) query.Table {
+func (e *Executor) aggregateRows(noun string) query.Table {
 	t := query.Table{Columns: []string{noun}}
-	c := d.log.Current()
+	c := e.log.Current()
 	for _, name := range c.Names(noun) {
 		fields, _ := c.Fields(noun, name)
 		row := []string{name}
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -23,8 +23,8 @@
 	events       []endpoint.CacheEvent
 }
 
-func newCache(limit, gap int) cache {
-	return cache{limit: limit, lossInterval: gap, lru: list.New(), blocks: map[uint64]*list.Element{}}
+func newCache(limit, lossInterval int) cache {
+	return cache{limit: limit, lossInterval: lossInterval, lru: list.New(), blocks: map[uint64]*list.Element{}}
 }
 
 // match returns how many leading blocks are cached.
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -167,7 +167,7 @@
 	})
 }
 
-// countWork counts work requests and refuses them if Faults.Rest is set.
+// countWork counts work requests and refuses them if Faults.RetryAfter is set.
 func (e *Engine) countWork(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		e.mu.Lock()
