--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -92,8 +92,8 @@
 	// Exhausted returns the engines of this instance's zone that may get no more requests now,
 	// and the time until the first of them may again.
 	Exhausted func() (engines []string, next time.Duration)
-	// OnAsk is called with each request for a place that reaches this instance's planner.
-	OnAsk func(req placement.Request)
+	// OnRequest is called with each request for a place that reaches this instance's planner.
+	OnRequest func(req placement.Request)
 }
 
 // Broker finds places at engines. Lock order: plannerMu, then mu.
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -41,7 +41,7 @@
 	now := func() clock.Millis { return clock.Millis(n.now.Load()) }
 	b := New(Options{
 		Name: name, Zone: zone, Transport: transport, Roster: roster.New(now), Directory: engines(c, zone), Log: log,
-		Scope: tally.NoopScope, Now: now, Paces: pace.New(pace.ConservativePrior()), OnAsk: func(placement.Request) {}, Exhausted: func() ([]string, time.Duration) { return nil, 0 },
+		Scope: tally.NoopScope, Now: now, Paces: pace.New(pace.ConservativePrior()), OnRequest: func(placement.Request) {}, Exhausted: func() ([]string, time.Duration) { return nil, 0 },
 		FetchLoad: func(_ context.Context, e directory.Endpoint) (placement.LoadReport, error) {
 			loadRequests <- e.ID
 			return placement.LoadReport{Engine: e.ID, Running: 1, UsedTokens: 60_000}, nil
--- a/internal/broker/planner.go
+++ b/internal/broker/planner.go
@@ -24,9 +24,9 @@
 	return b.planner.Queued() > 0
 }
 
-// ReportClosed reports to the planners of a zone that an engine accepts nothing until its
+// ReportStageChange reports to the planners of a zone that an engine accepts nothing until its
 // stage has changed.
-func (b *Broker) ReportClosed(zone, engine string) {
+func (b *Broker) ReportStageChange(zone, engine string) {
 	b.notifyPlanners(zone, topicStageChange, placement.StageChange{Engine: engine})
 }
 
@@ -39,7 +39,7 @@
 // decide asks the local planner and returns its first decision on this request. Decisions
 // on other requests are sent to their instances.
 func (b *Broker) decide(req placement.Request) placement.Decision {
-	b.OnAsk(req)
+	b.OnRequest(req)
 	exhausted, next := b.Exhausted()
 	req.Exclude = append(req.Exclude, exhausted...)
 	first := placement.Decision{Queued: true} // a request repeated while it is queued
--- a/internal/command/gateway.go
+++ b/internal/command/gateway.go
@@ -42,7 +42,7 @@
 	counters := counter.Open(map[string]string{"instance": set.Instance.Name})
 	store := platform.NewStore(set.StoreAddress(), set.Store.Timeout, counters.Scope)
 	g, err := gateway.New(set, counters, gateway.Platform{
-		Dialect: platform.Dialect(), Source: platform.Source(store), Registry: platform.Registry(store),
+		Codec: platform.Codec(), Source: platform.Source(store), Registry: platform.Registry(store),
 		Duty: platform.StagingRegistry(store), Order: platform.SendOrder, Load: platform.FetchLoad, Suspects: platform.Suspects(store), ReadyPath: platform.ReadyPath,
 		Clocks: clocks,
 	}, log)
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -313,7 +313,7 @@
 		})
 	}
 	for _, z := range d.zones {
-		if z.Revision > revision && (revision > 0 || !z.Over) {
+		if z.Revision > revision && (revision > 0 || !z.Ended) {
 			out.Evacuations = append(out.Evacuations, z)
 		}
 	}
--- a/internal/directory/evacuation.go
+++ b/internal/directory/evacuation.go
@@ -13,11 +13,11 @@
 		return nil
 	}
 	d.zones[e.Zone] = e
-	if known && before.Over == e.Over || !known && e.Over {
+	if known && before.Ended == e.Ended || !known && e.Ended {
 		return nil
 	}
 	kind := ZoneEvacuated
-	if e.Over {
+	if e.Ended {
 		kind = ZoneRestored
 	}
 	for _, rec := range d.endpoints {
@@ -39,8 +39,8 @@
 		changes = append(changes, d.applyEvacuation(e)...)
 	}
 	for zone, e := range d.zones {
-		if !current[zone] && !e.Over && e.Revision < revision {
-			changes = append(changes, d.applyEvacuation(Evacuation{Zone: zone, Over: true, Revision: revision})...)
+		if !current[zone] && !e.Ended && e.Revision < revision {
+			changes = append(changes, d.applyEvacuation(Evacuation{Zone: zone, Ended: true, Revision: revision})...)
 		}
 	}
 	return changes
@@ -49,14 +49,14 @@
 // isEvacuated reports whether a zone is evacuated.
 func (d *Directory) isEvacuated(zone string) bool {
 	e, known := d.zones[zone]
-	return known && !e.Over
+	return known && !e.Ended
 }
 
 // evacuatedZones returns the evacuated zones and what they contribute to a view's digest.
 func (d *Directory) evacuatedZones() (zones map[string]bool, digest uint64) {
 	zones = map[string]bool{}
 	for zone, e := range d.zones {
-		if !e.Over {
+		if !e.Ended {
 			zones[zone] = true
 			digest ^= xxhash.Sum64String(zone + "\x00" + strconv.FormatInt(e.Revision, 16))
 		}
--- a/internal/directory/event.go
+++ b/internal/directory/event.go
@@ -45,7 +45,7 @@
 // requests until that is over.
 type Evacuation struct {
 	Zone     string `cbor:"1,keyasint"`
-	Over     bool   `cbor:"2,keyasint,omitempty"`
+	Ended    bool   `cbor:"2,keyasint,omitempty"`
 	Revision int64  `cbor:"3,keyasint"` // of the store
 }
 
--- a/internal/directory/view_test.go
+++ b/internal/directory/view_test.go
@@ -142,7 +142,7 @@
 				directory.Leaving{ID: e.ID},
 				directory.Denied{ID: e.ID},
 				directory.Evacuation{Zone: e.Zone, Revision: e.Revision},
-				directory.Evacuation{Zone: e.Zone, Over: true, Revision: e.Revision},
+				directory.Evacuation{Zone: e.Zone, Ended: true, Revision: e.Revision},
 				directory.Listed{Endpoints: []directory.Endpoint{e}, Revision: e.Revision},
 			}).Draw(rt, "event")
 			d.Apply(clock.Millis(step), event)
--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -25,7 +25,7 @@
 
 // Topics of the messages between entries and dispatchers.
 const (
-	TopicAsk      = "cell.ask"
+	TopicRequest  = "cell.ask"
 	TopicProgress = "cell.progress"
 	TopicAnnounce = "cell.announce"
 	TopicGrant    = "cell.grant"
@@ -88,7 +88,7 @@
 
 // Register adds the handlers for messages from entries.
 func (d *Dispatcher) Register(r *message.Router) {
-	peer.Handle(r, d.transport, TopicAsk, func(_ peer.Sender, a cell.AttemptRequest) {
+	peer.Handle(r, d.transport, TopicRequest, func(_ peer.Sender, a cell.AttemptRequest) {
 		if c := d.findCell(a.Cell); c != nil {
 			d.apply(c, a)
 			return
--- a/internal/endpoint/client.go
+++ b/internal/endpoint/client.go
@@ -216,12 +216,12 @@
 
 // Call is one request to a plain service.
 type Call struct {
-	Attempt string
-	Method  string
-	Path    string // relative to the service's root, with the query
-	Header  http.Header
-	Body    []byte
-	Once    bool // the call must not be repeated
+	Attempt    string
+	Method     string
+	Path       string // relative to the service's root, with the query
+	Header     http.Header
+	Body       []byte
+	AtMostOnce bool // the call must not be repeated
 }
 
 // Response is a plain service's complete response.
@@ -242,7 +242,7 @@
 	req.Header = call.Header.Clone()
 	req.Header.Set("X-Attempt", call.Attempt)
 	client := c.pooled
-	if call.Once {
+	if call.AtMostOnce {
 		client = c.unpooled
 		req.GetBody = nil // net/http must not send it again
 	}
--- a/internal/endpoint/client_test.go
+++ b/internal/endpoint/client_test.go
@@ -58,7 +58,7 @@
 // only.
 func TestCutSend(t *testing.T) {
 	c := qt.New(t)
-	call := Call{Attempt: "a.1", Method: "POST", Path: "confirm", Header: http.Header{"Idempotency-Key": {"k"}}, Body: []byte("body"), Once: true}
+	call := Call{Attempt: "a.1", Method: "POST", Path: "confirm", Header: http.Header{"Idempotency-Key": {"k"}}, Body: []byte("body"), AtMostOnce: true}
 	whole := 0
 	for cut := 1; ; cut++ { // with 0 bytes the dial itself may fail, which means not run
 		l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/entry/admit.go
+++ b/internal/entry/admit.go
@@ -112,7 +112,7 @@
 // requestGrant sends the attempt's request to the dispatcher and waits for the answer.
 // The result Answered means that the attempt was granted.
 func (e *Entry) requestGrant(ctx context.Context, r *request, a *attempt, to candidate) Outcome {
-	e.send(to.address, dispatcher.TopicAsk, a.request)
+	e.send(to.address, dispatcher.TopicRequest, a.request)
 	timer := time.NewTimer(max(r.remaining(), 0) + answerSlack)
 	defer timer.Stop()
 	for {
@@ -145,6 +145,6 @@
 func (e *Entry) resendRequest(r *request, a *attempt, to candidate) {
 	a.request.Budget = r.remaining()
 	if address, ok := e.address(to.cell); ok {
-		e.send(address, dispatcher.TopicAsk, a.request)
+		e.send(address, dispatcher.TopicRequest, a.request)
 	}
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -38,7 +38,7 @@
 	Zone             string
 	AnnounceInterval time.Duration
 	OwnerExpiry      time.Duration
-	MaxHeldAnswers   int
+	MaxKeptAnswers   int
 	Now              func() clock.Millis
 	Catalog          func() *catalog.Catalog
 	// Dispatcher returns the address of the process that dispatches a cell of the own zone.
@@ -76,7 +76,7 @@
 func New(o Options, t *peer.Transport, c *endpoint.Client, scope tally.Scope) *Entry {
 	e := &Entry{
 		options: o, transport: t, client: c, scope: scope,
-		attempts: newAttempts(), answers: newAnswerStore(o.MaxHeldAnswers),
+		attempts: newAttempts(), answers: newAnswerStore(o.MaxKeptAnswers),
 	}
 	e.lastAnnounced.Store(int64(o.Now()))
 	return e
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -239,7 +239,7 @@
 	e.reportProgress(a, cell.Progress{Phase: cell.Streaming})
 	answer, err := e.client.Call(ctx, a.grant.DecodeAddr, endpoint.Call{
 		Attempt: string(a.request.Attempt), Method: r.Method, Path: r.Path, Header: r.Header, Body: r.Body,
-		Once: !r.repeatable(),
+		AtMostOnce: !r.repeatable(),
 	})
 	if err != nil {
 		return answer, &attemptError{at: a.grant.Decode, cause: err}
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -30,9 +30,9 @@
 	Problems []Problem
 	Revision int64
 
-	Instances     []roster.Instance // of this system
-	GoneInstances []roster.Removal
-	AllInstances  bool // Instances has all that exist
+	Instances        []roster.Instance // of this system
+	RemovedInstances []roster.Removal
+	AllInstances     bool // Instances has all that exist
 
 	Suspects suspects.StoreUpdate
 
@@ -256,7 +256,7 @@
 	// Instances first: peers request what they lack by the directory's revision, which must
 	// not be ahead of the instances that they are sent.
 	f.applyInstances(u)
-	if s := u.Suspects; f.Suspects != nil && (s.Complete || len(s.Records)+len(s.Released)+len(s.Errors) > 0) {
+	if s := u.Suspects; f.Suspects != nil && (s.Complete || len(s.Records)+len(s.Removals)+len(s.Errors) > 0) {
 		f.Suspects(s)
 	}
 	var changes []directory.Change
@@ -284,10 +284,10 @@
 
 // applyInstances applies what the store returned about instances to the roster and logs it.
 func (f *Feed) applyInstances(u Update) {
-	if !u.AllInstances && len(u.Instances)+len(u.GoneInstances) == 0 {
+	if !u.AllInstances && len(u.Instances)+len(u.RemovedInstances) == 0 {
 		return
 	}
-	removed := u.GoneInstances
+	removed := u.RemovedInstances
 	if u.AllInstances {
 		removed = append(removed, f.Roster.Missing(u.Instances, u.Revision)...)
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -42,7 +42,7 @@
 
 // Platform adapts a gateway to the platform on which it runs.
 type Platform struct {
-	Dialect  forward.Codec
+	Codec    forward.Codec
 	Source   feed.Source
 	Registry roster.Registry
 	// Duty selects the one instance that gives orders to engines. Order sends an order.
@@ -138,7 +138,7 @@
 	g.roster = roster.New(g.now)
 	g.pool = uplink.NewPool(g.counters.Scope, g.now)
 	g.pool.OnResponse = func(incarnation string, head *http.Response) {
-		g.handleNotice(incarnation, g.platform.Dialect.ReadNotice(head))
+		g.handleNotice(incarnation, g.platform.Codec.ReadNotice(head))
 	}
 	g.openFeed() // first, because a peer's certificate may arrive as soon as the transport listens
 	if err := g.openPeers(); err != nil {
@@ -182,7 +182,7 @@
 	g.broker = broker.New(broker.Options{
 		Name: s.Instance.Name, Zone: s.Instance.Zone, Transport: g.transport, Roster: g.roster,
 		Directory: g.directory, Log: g.log, Scope: scope, Now: g.now, FetchLoad: g.fetchLoad, Paces: g.paces, Regions: s.Zones, Exhausted: g.throttle.Exhausted,
-		OnAsk: func(a placement.Request) {
+		OnRequest: func(a placement.Request) {
 			g.staging.AddRequest(a.Service, a.Prompt, g.paces.AnswerLength(a.Service, a.Route, a.ExpectedTokens, a.MaxTokens).Mean)
 		},
 	})
@@ -195,7 +195,7 @@
 		Zone: s.Instance.Zone, Now: g.now, Log: g.log, Scope: scope, Fresh: freshness.New(s.Freshness.Bound()), Bound: s.Freshness.Bound(),
 		ApplyEvent: func(e directory.Event) { g.feed.Apply(e) },
 		ApplyInstances: func(seen []roster.Instance, left []roster.Removal, whole bool, revision int64) {
-			g.feed.ApplyUpdate(feed.Update{Instances: seen, GoneInstances: left, AllInstances: whole, Revision: revision})
+			g.feed.ApplyUpdate(feed.Update{Instances: seen, RemovedInstances: left, AllInstances: whole, Revision: revision})
 		},
 		Capacity: s.Processor.Capacity(), ReadZone: func(ctx context.Context) error { return g.feed.ReadZone(ctx, s.Instance.Zone) },
 		HeadRevision: g.platform.Source.HeadRevision, List: func() { g.feed.List() }, CatchUp: func() { g.feed.CatchUp() }, CatchingUp: func() bool { return g.feed.CatchingUp() }, Configure: func() { g.feed.Configure() },
@@ -255,7 +255,7 @@
 	g.staging = &staging.Runner{
 		Directory: g.directory, Leadership: g.duty, Send: g.sendOrder,
 		Avoid:         g.avoids,
-		StageChanging: func(o staging.Order) { g.broker.ReportClosed(o.Endpoint.Zone, o.Endpoint.ID) },
+		StageChanging: func(o staging.Order) { g.broker.ReportStageChange(o.Endpoint.Zone, o.Endpoint.ID) },
 		Log:           g.log, Scope: g.counters.Scope, Now: g.now, Paces: g.paces,
 	}
 }
@@ -263,7 +263,7 @@
 func (g *Gateway) openForwarder() {
 	s := g.settings
 	g.forwarder = forward.New(forward.Options{
-		Codec: g.platform.Dialect, Directory: g.directory, Balancer: g.balancer, Pool: g.pool,
+		Codec: g.platform.Codec, Directory: g.directory, Balancer: g.balancer, Pool: g.pool,
 		Log: g.log, Scope: g.counters.Scope, Now: g.now,
 		Retry:      s.Retry.Rule(),
 		BodyMemory: int64(bodyMemoryFraction * float64(s.Memory.LimitMB<<20)), WriteTimeout: s.Callers.Stall,
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -133,7 +133,7 @@
 	n.entry = entry.New(entry.Options{
 		Owner: cell.Owner{Node: s.Node.ID, Incarnation: incarnation, Address: n.transport.Address()},
 		Zone:  s.Node.Zone, AnnounceInterval: s.Dispatch.Announce, OwnerExpiry: s.Dispatch.OwnerExpiry,
-		MaxHeldAnswers: s.Callers.HeldAnswers, Now: n.now, Catalog: n.changes.Current,
+		MaxKeptAnswers: s.Callers.HeldAnswers, Now: n.now, Catalog: n.changes.Current,
 		Dispatcher: n.dispatcherOf, Cells: n.cells, Status: n.status, Claim: n.ledger.Claim, Abandon: n.ledger.Abandon,
 		Suspects: n.suspects, Notices: notices, Limits: limits,
 	}, n.transport, client, scope)
--- a/internal/relay/seed.go
+++ b/internal/relay/seed.go
@@ -151,7 +151,7 @@
 		listing.PresentEntries = append(listing.PresentEntries, entry)
 	}
 	for _, z := range s.evacuations {
-		if !z.Over {
+		if !z.Ended {
 			listing.Evacuations = append(listing.Evacuations, z)
 		}
 	}
--- a/internal/suspects/suspects.go
+++ b/internal/suspects/suspects.go
@@ -73,7 +73,7 @@
 // StoreUpdate is a listing of the store's records or a batch of changes to them.
 type StoreUpdate struct {
 	Records  []quarantine.Stored
-	Released []quarantine.Removal
+	Removals []quarantine.Removal
 	Complete bool // Records is a full listing as of Revision
 	Revision int64
 	Errors   []error // records that could not be read
@@ -237,7 +237,7 @@
 	var updated []quarantine.Record
 	s.mu.Lock()
 	now := s.Now()
-	released := u.Released
+	released := u.Removals
 	if u.Complete {
 		released = append(released, s.table.Missing(u.Records, u.Revision)...)
 	}
--- a/internal/suspects/suspects_test.go
+++ b/internal/suspects/suspects_test.go
@@ -251,6 +251,6 @@
 	f.nodes["c1"].ApplyStored(f.store.listing())
 	qt.Assert(t, f.nodes["c1"].Holds(poison), qt.IsTrue)
 	// An operator removes the record.
-	f.nodes["c1"].ApplyStored(suspects.StoreUpdate{Released: []quarantine.Removal{{Work: poison.Fingerprint(), Revision: 9}}})
+	f.nodes["c1"].ApplyStored(suspects.StoreUpdate{Removals: []quarantine.Removal{{Work: poison.Fingerprint(), Revision: 9}}})
 	qt.Assert(t, f.nodes["c1"].Holds(poison), qt.IsFalse)
 }
