--- a/internal/entry/answers.go
+++ b/internal/entry/answers.go
@@ -73,7 +73,7 @@
 }
 
 // localKeptAnswer returns the answer of a request that this entry ran. It waits for
-// up to heldAnswerTimeout while the request is running.
+// up to answerTimeout while the request is running.
 func (e *Entry) localKeptAnswer(ctx context.Context, _ peer.Sender, req answerRequest) answerResponse {
 	a := e.answers.find(req.Request)
 	if a == nil {
